--- a/dillhold/src/call/attempts.rs
+++ b/dillhold/src/call/attempts.rs
@@ -2,7 +2,7 @@
 
 use pitchgw::interface::{CallId, Cause, Event, ExchangeId, Nanos, Outcome, Report, Standing};
 
-use super::{AttemptProgress, Call, Calls, Command, Due, Out, ToExchange};
+use super::{AttemptProgress, Call, Calls, Command, Deadline, ExchangeRequest, Out};
 
 impl Calls {
     /// The attempt that is out for a call, if it is at this exchange. Exchanges name the call and not which of
@@ -23,11 +23,13 @@
     /// The connection to an exchange is gone. `unsent` are the attempts whose set-up never left. One that is still
     /// to be carried out has not left either: taken for cut it was once written to the next connection all the same,
     /// and the call sent again beside it.
-    pub fn exchange_lost(&mut self, now: Nanos, exchange: ExchangeId, unsent: &[(u64, u32)]) {
+    pub fn exchange_disconnected(&mut self, now: Nanos, exchange: ExchangeId, unsent: &[(u64, u32)]) {
         let mut unsent = unsent.to_vec();
         self.commands.retain(|command| match command {
-            Command::Exchange { to, id, say: ToExchange::SetUp { attempt, .. } } if *to == exchange => {
-                unsent.push((*id, *attempt));
+            Command::RequestExchange { to, call_id, request: ExchangeRequest::SetUp { attempt, .. } }
+                if *to == exchange =>
+            {
+                unsent.push((*call_id, *attempt));
                 false
             }
             _ => true,
@@ -56,12 +58,12 @@
             AttemptProgress::NeverSent => (Outcome::Unreachable, "errors attempts never sent"),
             AttemptProgress::Sent => (Outcome::Cut, "errors attempts cut"),
         };
-        self.counters.up(name);
+        self.counters.increment(name);
         self.ended(now, id, out, (outcome, Cause::Untold, Report::default()));
     }
 
     /// Whether an attempt is out at an exchange.
-    pub fn attempts_out_at(&self, exchange: ExchangeId) -> bool {
+    pub fn has_pending_attempts(&self, exchange: ExchangeId) -> bool {
         self.table.values().any(|c| c.out.is_some_and(|o| o.exchange == exchange))
     }
 
@@ -81,7 +83,7 @@
             && Some(number) != self.set.home
             && (!call.transit || number == call.destination);
         if !allowed {
-            self.counters.up("errors attempts not allowed");
+            self.counters.increment("errors attempts not allowed");
             return self.later.push_back(Event::Ended {
                 call: handle,
                 attempt,
@@ -96,23 +98,23 @@
         tracing::debug!(call = format_args!("{id:016x}"), attempt, exchange = to, "attempt");
         let until = now.saturating_add(timeout).min(call.deadline);
         call.out = Some(Out { exchange: to, attempt, sent: now });
-        let say = ToExchange::SetUp {
+        let say = ExchangeRequest::SetUp {
             attempt,
             wait: until - now,
             class: self.told.classes[call.class].clone().into_bytes(),
             number: call.number.clone(),
             description: call.description.clone(),
         };
-        self.counters.up("sent set-ups");
-        self.deadlines.add(until, Due::Attempt(id, handle, attempt));
-        self.say_exchange(to, id, say);
+        self.counters.increment("sent set-ups");
+        self.deadlines.add(until, Deadline::AttemptTimeout(id, handle, attempt));
+        self.request_exchange(to, id, say);
     }
 
     /// Gives up the attempt that is out, if there is one.
     pub(super) fn give_up(&mut self, now: Nanos, id: u64, outcome: Outcome) {
         let Some(out) = self.table.get(&id).and_then(|c| c.out) else { return };
-        self.counters.up("sent set-ups given up");
-        self.say_exchange(out.exchange, id, ToExchange::GiveUp { attempt: out.attempt });
+        self.counters.increment("sent set-ups given up");
+        self.request_exchange(out.exchange, id, ExchangeRequest::GiveUp { attempt: out.attempt });
         self.ended(now, id, out, (outcome, Cause::Untold, Report::default()));
     }
 
@@ -120,7 +122,7 @@
         let (outcome, cause, report) = how;
         let (call, attempt, exchange) = (format_args!("{id:016x}"), out.attempt, out.exchange);
         tracing::debug!(call, attempt, exchange, ?outcome, ?cause, "attempt ended");
-        self.counters.up("taken endings");
+        self.counters.increment("taken endings");
         let Some(call) = self.table.get_mut(&id) else { return };
         call.out = None;
         if matches!(outcome, Outcome::TimedOut | Outcome::Cut | Outcome::CalledOff) {
--- a/dillhold/src/call/words.rs
+++ b/dillhold/src/call/messages.rs
@@ -4,7 +4,7 @@
 use pitchgw::interface::{CallId, Cause, ExchangeId, Nanos, Outcome, Report};
 
 /// A connection from callers. Numbers are never used again.
-pub type CallerLink = u64;
+pub type CallerConnId = u64;
 
 /// A set-up as a caller sends it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -92,36 +92,36 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// To a caller.
-    Caller {
+    NotifyCaller {
         /// The connection meant; `None`: any.
-        link: Option<CallerLink>,
+        conn: Option<CallerConnId>,
         /// The call.
-        id: u64,
+        call_id: u64,
         /// What to say.
-        say: ToCaller,
+        notification: CallerNotification,
     },
     /// To an exchange.
-    Exchange {
+    RequestExchange {
         /// Which.
         to: ExchangeId,
         /// The call.
-        id: u64,
+        call_id: u64,
         /// What to say.
-        say: ToExchange,
+        request: ExchangeRequest,
     },
     /// What has not left yet for an exchange must not leave any more.
-    Withhold(ExchangeId),
+    WithdrawSetUps(ExchangeId),
     /// The list of exchanges has changed.
-    Listed,
+    UpdateLinks,
     /// Calls stand on this exchange: it is to be watched while they do.
-    Watch(ExchangeId),
+    StartLivenessChecks(ExchangeId),
     /// This machine is gone for good.
-    Ended(ExchangeId),
+    RemoveExchange(ExchangeId),
 }
 
 /// What callers are told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ToCaller {
+pub enum CallerNotification {
     /// The call stands; the exchange's description.
     Answer(Vec<u8>),
     /// Refused; stay away for so long (0: nothing said).
@@ -134,7 +134,7 @@
 
 /// What exchanges are told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ToExchange {
+pub enum ExchangeRequest {
     /// Set the call up.
     SetUp {
         /// Number of the attempt.
@@ -161,57 +161,57 @@
 
 /// What can be due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum Deadline {
     /// A timer of the module.
-    Module(u64),
+    ModuleTimer(u64),
     /// An attempt's time is up.
-    Attempt(u64, CallId, u32),
+    AttemptTimeout(u64, CallId, u32),
     /// A call's last moment for an answer.
-    Answer(u64, CallId),
+    FinalAnswer(u64, CallId),
     /// A machine that is gone has had its last words.
-    Gone(ExchangeId),
+    ExchangeRemoval(ExchangeId),
     /// An interval of the measuring is over.
-    Measured,
+    IntervalEnd,
     /// The ids of calls that ended before are forgotten.
-    Forget,
+    ForgetEndedCalls,
     /// Something of the connections'.
-    Link(LinkDue),
+    Engine(EngineDeadline),
 }
 
 /// What can be due of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkDue {
+pub enum EngineDeadline {
     /// A connection must be up by now.
-    Connect(u64),
+    ConnectTimeout(u64),
     /// A message that came half on this connection of an exchange must be whole.
-    Half(ExchangeId, u64),
+    IncompleteMessage(ExchangeId, u64),
     /// Something must have come on this connection of an exchange since a set-up was sent there.
-    Silent(ExchangeId, u64),
+    SilenceTimeout(ExchangeId, u64),
     /// An exchange is connected to again.
-    Redial(ExchangeId),
+    Reconnect(ExchangeId),
     /// An exchange on which calls stand is looked at: whether it still lives.
-    Liveness(ExchangeId),
+    LivenessCheck(ExchangeId),
     /// The calls that stand on an exchange are compared with the circuits that it says are in use.
-    Compare {
+    CompareCircuits {
         /// Which.
         exchange: ExchangeId,
         /// When it could be reached again; calls that stood before are in doubt.
         since: Nanos,
     },
     /// The journal is asked again.
-    Ask,
+    PollJournal,
     /// The journal must have answered on this connection.
-    Journal(u64),
+    JournalTimeout(u64),
     /// A connection from callers is looked at: whether it is of use to anybody.
-    Caller(u64),
+    CallerCheck(u64),
     /// Releases that wait for a caller wait no longer for one that is known to be one.
-    Releases,
+    DeliverReleases,
     /// After the signal to end: callers stop coming.
     StopListening,
     /// While leaving: connections from callers on which nothing is left are closed.
     CloseUnused,
     /// A connection whose writing side was closed is closed altogether.
-    Finished(u64),
+    FinishTimeout(u64),
     /// After the signal to end: whatever is still open is left.
-    Leave,
+    ForcedExit,
 }
--- a/dillhold/src/call/mod.rs
+++ b/dillhold/src/call/mod.rs
@@ -6,9 +6,9 @@
 //! may go to, and exactly one final answer before the caller gives up.
 
 mod attempts;
-mod memory;
+mod messages;
+mod recent;
 mod standing;
-mod words;
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -22,10 +22,10 @@
 use crate::clock::MS;
 use crate::counters::Counters;
 use crate::deadlines::Deadlines;
-use crate::directory::{Bounds, Directory, News, Told};
-use memory::{EndedCalls, Numbers};
+use crate::directory::{Bounds, ControllerSettings, Directory, DirectoryUpdate};
+pub use messages::*;
+use recent::{EndedCalls, Numbers};
 pub use standing::GroupState;
-pub use words::*;
 
 /// A caller that would wait for longer than so many of its class's deadlines is not served.
 const MOST_DEADLINES: u64 = 2;
@@ -47,7 +47,7 @@
 struct Call {
     handle: CallId,
     /// Where the set-up came from.
-    link: CallerLink,
+    link: CallerConnId,
     /// Bytes of what came with it.
     size: usize,
     class: usize,
@@ -94,13 +94,13 @@
 pub struct Calls {
     module: Controller,
     set: Settings,
-    told: Told,
+    told: ControllerSettings,
     /// The list of exchanges.
     pub directory: Directory,
     table: HashMap<u64, Call>,
     ids: HashMap<CallId, u64>,
     /// The calls of each connection from callers; connections without any are not here.
-    by_connection: HashMap<CallerLink, ConnectionCalls>,
+    by_connection: HashMap<CallerConnId, ConnectionCalls>,
     ended_calls: EndedCalls,
     forgetting: bool,
     numbers: Numbers,
@@ -123,7 +123,7 @@
     bounds: Bounds,
     later: VecDeque<Event>,
     /// All deadlines of the program.
-    pub deadlines: Deadlines<Due>,
+    pub deadlines: Deadlines<Deadline>,
     /// What is to be sent, in order.
     pub commands: VecDeque<Command>,
     /// All counts of the program.
@@ -132,7 +132,11 @@
 
 impl Calls {
     /// An empty table.
-    pub fn new(told: Told, bounds: Bounds, directory: Directory) -> Result<Calls, SettingsError> {
+    pub fn new(
+        told: ControllerSettings,
+        bounds: Bounds,
+        directory: Directory,
+    ) -> Result<Calls, SettingsError> {
         let longest = told.module.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         Ok(Calls {
             module: Controller::new(told.module.clone(), told.seed)?,
@@ -142,10 +146,10 @@
             table: HashMap::new(),
             ids: HashMap::new(),
             by_connection: HashMap::new(),
-            ended_calls: EndedCalls::new(bounds.standing),
+            ended_calls: EndedCalls::new(bounds.max_standing_calls),
             forgetting: false,
             // A caller that dials again does so within the longest deadline.
-            numbers: Numbers::new(longest, bounds.standing),
+            numbers: Numbers::new(longest, bounds.max_standing_calls),
             meter: None,
             intervals: VecDeque::new(),
             next_call: 0,
@@ -164,14 +168,14 @@
     }
 
     /// Counts calls and groups from now on, interval by interval.
-    pub fn measure(&mut self, now: Nanos, calendar: Calendar) {
+    pub fn start_measuring(&mut self, now: Nanos, calendar: Calendar) {
         let widths = self.set.classes.iter().map(|c| c.width);
         let class = |(name, width): (&String, u32)| measured::meter::Class { name: name.clone(), width };
         let classes = self.told.classes.iter().zip(widths).map(class).collect();
         let persists = self.set.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let home = self.set.home.unwrap_or(self.set.own_number);
         let meter = Meter::new(home, classes, calendar, unix_ms(persists), unix_ms(now));
-        self.deadlines.add(meter.ends() as Nanos * MS, Due::Measured);
+        self.deadlines.add(meter.ends() as Nanos * MS, Deadline::IntervalEnd);
         self.meter = Some(meter);
     }
 
@@ -185,22 +189,22 @@
             self.intervals.extend(meter.cut(unix_ms(now)));
             self.meter = None;
         } else {
-            self.deadlines.add(meter.ends() as Nanos * MS, Due::Measured);
+            self.deadlines.add(meter.ends() as Nanos * MS, Deadline::IntervalEnd);
         }
     }
 
     /// Whether these settings can take the place of the present ones while calls are open and stand: they are of
     /// the same exchange, in the same layout, with the same classes.
-    pub fn admits(&self, told: &Told) -> bool {
+    pub fn can_reconfigure(&self, told: &ControllerSettings) -> bool {
         let same = |s: &Settings| (s.home, s.own_number, s.zone, s.shape);
         same(&told.module) == same(&self.told.module) && told.classes == self.told.classes
     }
 
-    /// Goes on with other settings, which [`Calls::admits`] has let through.
-    pub fn reconfigure(&mut self, told: Told, bounds: Bounds, settings: &serde_json::Value) {
+    /// Goes on with other settings, which [`Calls::can_reconfigure`] has let through.
+    pub fn reconfigure(&mut self, told: ControllerSettings, bounds: Bounds, settings: &serde_json::Value) {
         self.module.reconfigure(told.module.clone());
-        self.directory.rezone(settings);
-        self.ended_calls.bound(bounds.standing);
+        self.directory.update_zones(settings);
+        self.ended_calls.bound(bounds.max_standing_calls);
         (self.set, self.told, self.bounds) = (told.module.clone(), told, bounds);
     }
 
@@ -215,36 +219,36 @@
         }
         open.sort_unstable();
         for (id, handle) in open {
-            self.deadlines.add(guard, Due::Answer(id, handle));
+            self.deadlines.add(guard, Deadline::FinalAnswer(id, handle));
         }
     }
 
     /// While the process leaves, new set-ups are refused at once.
-    pub fn refuse_new(&mut self) {
+    pub fn refuse_new_set_ups(&mut self) {
         self.refusing = true;
     }
 
     /// What the settings say to the connections.
-    pub fn told(&self) -> &Told {
+    pub fn settings(&self) -> &ControllerSettings {
         &self.told
     }
 
     /// Set-ups that are owed an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_set_ups(&self) -> usize {
         self.open
     }
 
     /// Whether a set-up that came on this connection is owed an answer.
-    pub fn open_on(&self, link: CallerLink) -> bool {
+    pub fn has_open_set_ups(&self, link: CallerConnId) -> bool {
         self.by_connection.get(&link).is_some_and(|b| !b.open.is_empty())
     }
 
     /// Whether a call of this connection is open or stands.
-    pub fn has_calls(&self, link: CallerLink) -> bool {
+    pub fn has_calls(&self, link: CallerConnId) -> bool {
         self.by_connection.contains_key(&link)
     }
 
-    fn update_connection(&mut self, link: CallerLink, change: impl FnOnce(&mut ConnectionCalls)) {
+    fn update_connection(&mut self, link: CallerConnId, change: impl FnOnce(&mut ConnectionCalls)) {
         let calls = self.by_connection.entry(link).or_default();
         change(calls);
         if calls.open.is_empty() && calls.standing == 0 {
@@ -258,11 +262,11 @@
 
     /// Takes in what a caller said on a connection. False: a set-up that is not one to be served, or a release
     /// of a call that is not known.
-    pub fn from_caller(&mut self, now: Nanos, link: CallerLink, said: FromCaller<'_>) -> bool {
+    pub fn from_caller(&mut self, now: Nanos, link: CallerConnId, said: FromCaller<'_>) -> bool {
         match said {
             FromCaller::SetUp(set_up) => self.set_up(now, link, &set_up),
             FromCaller::Unservable(id) => {
-                self.counters.up("taken set-ups");
+                self.counters.increment("taken set-ups");
                 if !self.twice(now, link, id) {
                     self.unservable(link, id);
                 }
@@ -272,24 +276,24 @@
         }
     }
 
-    fn unservable(&mut self, link: CallerLink, id: u64) {
+    fn unservable(&mut self, link: CallerConnId, id: u64) {
         tracing::info!(call = format_args!("{id:016x}"), conn = link, "failed: set-up cannot be served");
-        self.counters.up("taken set-ups unservable");
-        self.say(Some(link), id, ToCaller::Failed);
+        self.counters.increment("taken set-ups unservable");
+        self.notify_caller(Some(link), id, CallerNotification::Failed);
     }
 
     /// Answers a set-up with the id of a call that is open or stands. On the call's own connection nobody can
     /// tell which of the two an answer would be for: the call is ended, and that one answer serves both.
-    fn twice(&mut self, now: Nanos, link: CallerLink, id: u64) -> bool {
+    fn twice(&mut self, now: Nanos, link: CallerConnId, id: u64) -> bool {
         let Some(known) = self.table.get(&id).map(|c| (c.link == link, c.owed, c.stands)) else {
             return false;
         };
-        self.counters.up("taken set-ups twice");
-        self.say(Some(link), id, ToCaller::Failed);
+        self.counters.increment("taken set-ups twice");
+        self.notify_caller(Some(link), id, CallerNotification::Failed);
         match known {
             (true, true, _) => self.abandon(now, id, true),
             (true, false, Some(stood)) => {
-                self.say_exchange(stood.exchange, id, ToExchange::Release(16));
+                self.request_exchange(stood.exchange, id, ExchangeRequest::Release(16));
                 self.over_standing(now, id, Outcome::CalledOff);
             }
             _ => {}
@@ -297,8 +301,8 @@
         true
     }
 
-    fn set_up(&mut self, now: Nanos, link: CallerLink, s: &SetUp<'_>) -> bool {
-        self.counters.up("taken set-ups");
+    fn set_up(&mut self, now: Nanos, link: CallerConnId, s: &SetUp<'_>) -> bool {
+        self.counters.increment("taken set-ups");
         if self.twice(now, link, s.id) {
             return false;
         }
@@ -311,20 +315,28 @@
         };
         let deadline = self.answer_by.map_or(now + s.wait, |by| by.min(now + s.wait));
         if self.refusing || deadline <= now + self.set.tick {
-            self.counters.up("answered refused while leaving");
-            self.say(Some(link), s.id, ToCaller::Refused(self.set.max_pause.unwrap_or(0)));
+            self.counters.increment("answered refused while leaving");
+            self.notify_caller(
+                Some(link),
+                s.id,
+                CallerNotification::Refused(self.set.max_pause.unwrap_or(0)),
+            );
             return true;
         }
         let size = s.number.len() + s.description.len();
         let standing = self.table.len() - self.open;
         let room = self.open < self.told.max_open
-            && self.held + size <= self.bounds.open_bytes
-            && standing < self.bounds.standing;
+            && self.held + size <= self.bounds.max_open_bytes
+            && standing < self.bounds.max_standing_calls;
         if !room {
             let (open, held) = (self.open, self.held);
             tracing::info!(call = format_args!("{:016x}", s.id), open, held, standing, "refused: no room");
-            self.counters.up("answered refused for want of room");
-            self.say(Some(link), s.id, ToCaller::Refused(self.set.max_pause.unwrap_or(0)));
+            self.counters.increment("answered refused for want of room");
+            self.notify_caller(
+                Some(link),
+                s.id,
+                CallerNotification::Refused(self.set.max_pause.unwrap_or(0)),
+            );
             return true;
         }
         let handle = self.next_call;
@@ -359,7 +371,7 @@
         });
         // The module answers two ticks before the caller gives up. A call that has no answer by half a tick
         // before is failed here, whatever keeps the module from it; no sooner, or it takes the module's place.
-        self.deadlines.add(deadline.saturating_sub(self.set.tick / 2), Due::Answer(s.id, handle));
+        self.deadlines.add(deadline.saturating_sub(self.set.tick / 2), Deadline::FinalAnswer(s.id, handle));
         let dialled = Some(s.number).filter(|n| !n.is_empty()).map(|n| self.numbers.handle(now, n));
         if let (Some(meter), Some(call)) = (&mut self.meter, self.table.get_mut(&s.id)) {
             call.dialled = dialled;
@@ -389,19 +401,20 @@
             // end of a call here is known and goes nowhere.
             let unknown = !self.ended_calls.knows(id);
             if unknown {
-                self.counters.up("taken releases of unknown calls");
+                self.counters.increment("taken releases of unknown calls");
                 self.remember(now, id, true);
                 let to: Vec<ExchangeId> = self.directory.machines().map(|(id, _)| id).collect();
-                to.into_iter().for_each(|to| self.say_exchange(to, id, ToExchange::ReleaseUnknown(cause)));
+                to.into_iter()
+                    .for_each(|to| self.request_exchange(to, id, ExchangeRequest::ReleaseUnknown(cause)));
             }
             return !unknown;
         };
         if call.owed {
-            self.counters.up("taken set-ups given up");
+            self.counters.increment("taken set-ups given up");
             self.abandon(now, id, true);
         } else if let Some(stood) = call.stands {
-            self.counters.up("taken releases from callers");
-            self.say_exchange(stood.exchange, id, ToExchange::Release(cause));
+            self.counters.increment("taken releases from callers");
+            self.request_exchange(stood.exchange, id, ExchangeRequest::Release(cause));
             self.over_standing(now, id, Outcome::CalledOff);
         }
         true
@@ -417,10 +430,10 @@
     }
 
     /// A caller's connection has ended: its open set-ups are given up.
-    pub fn caller_lost(&mut self, now: Nanos, link: CallerLink) {
+    pub fn caller_disconnected(&mut self, now: Nanos, link: CallerConnId) {
         let lost = self.by_connection.get(&link).map(|b| b.open.clone());
         for id in lost.unwrap_or_default() {
-            self.counters.up("errors set-ups lost with their caller");
+            self.counters.increment("errors set-ups lost with their caller");
             // A set-up that crossed the close may come again on another connection.
             self.abandon(now, id, false);
         }
@@ -436,11 +449,11 @@
             FromExchange::Answered { id, description } => self.answer(now, exchange, id, description),
             FromExchange::Ended { id, outcome, cause, report } => match self.out_at(id, exchange) {
                 Some(out) => self.ended(now, id, out, (outcome, cause, report)),
-                None => self.counters.up("taken endings too late"),
+                None => self.counters.increment("taken endings too late"),
             },
             FromExchange::Released { id, cause } => self.released(now, exchange, id, cause),
             FromExchange::Group(report) => {
-                self.counters.up("taken group states");
+                self.counters.increment("taken group states");
                 let number = self.directory.machine(exchange).map(|m| m.number);
                 if let Some((free, size)) = report.free.zip(report.size) {
                     let in_use = (size - free).max(0.0);
@@ -457,18 +470,18 @@
 
     fn answer(&mut self, now: Nanos, exchange: ExchangeId, id: u64, description: &[u8]) {
         let Some(out) = self.out_at(id, exchange) else {
-            self.counters.up("taken answers too late");
+            self.counters.increment("taken answers too late");
             // The answer crossed the end of its attempt: what stands there must not be left standing. But one
             // more answer where the call stands already would have it released, and one under an id that was
             // never sent from here is dropped, for nothing stands for it.
             let call = self.table.get(&id);
             let copy = call.and_then(|c| c.stands).is_some_and(|s| self.speaks_for(exchange, s.exchange));
             if !copy && (call.is_some() || self.ended_calls.knows(id)) {
-                self.say_exchange(exchange, id, ToExchange::Release(16));
+                self.request_exchange(exchange, id, ExchangeRequest::Release(16));
             }
             return;
         };
-        self.counters.up("taken answers");
+        self.counters.increment("taken answers");
         let Some(call) = self.table.get_mut(&id) else { return };
         (call.out, call.stands, call.stood_at) = (None, Some(out), now);
         if let Some(meter) = &mut self.meter {
@@ -482,10 +495,10 @@
         let standing = self.standing_at.entry(out.exchange).or_default();
         *standing += 1;
         if *standing == 1 {
-            self.commands.push_back(Command::Watch(out.exchange));
+            self.commands.push_back(Command::StartLivenessChecks(out.exchange));
         }
-        self.counters.up("answered stands");
-        self.say(Some(link), id, ToCaller::Answer(description.to_vec()));
+        self.counters.increment("answered stands");
+        self.notify_caller(Some(link), id, CallerNotification::Answer(description.to_vec()));
         self.tell(now, Event::Stands { call: handle, attempt: out.attempt, took: now - out.sent });
     }
 
@@ -494,67 +507,67 @@
     // -----------------------------------------------------------------------------------------------------
 
     /// Takes in what the journal changed.
-    pub fn news(&mut self, now: Nanos, news: News) {
+    pub fn apply_directory_update(&mut self, now: Nanos, news: DirectoryUpdate) {
         for (kind, entries) in news.lists {
             tracing::info!(?kind, ?entries, "list of exchanges");
-            self.counters.up("taken lists");
+            self.counters.increment("taken lists");
             for e in entries.iter().filter(|e| e.standing != Standing::Up) {
-                self.commands.push_back(Command::Withhold(e.exchange));
+                self.commands.push_back(Command::WithdrawSetUps(e.exchange));
             }
             self.tell(now, Event::List(kind, entries));
         }
-        for exchange in news.ended {
-            self.commands.push_back(Command::Withhold(exchange));
-            self.deadlines.add(now + LAST_WORDS, Due::Gone(exchange));
+        for exchange in news.ended_exchanges {
+            self.commands.push_back(Command::WithdrawSetUps(exchange));
+            self.deadlines.add(now + LAST_WORDS, Deadline::ExchangeRemoval(exchange));
         }
-        self.commands.push_back(Command::Listed);
+        self.commands.push_back(Command::UpdateLinks);
     }
 
     /// Something is due.
-    pub fn due(&mut self, now: Nanos, due: Due) {
+    pub fn handle_deadline(&mut self, now: Nanos, due: Deadline) {
         match due {
-            Due::Module(token) => self.tell(now, Event::Timer(token)),
-            Due::Attempt(id, handle, attempt) => {
+            Deadline::ModuleTimer(token) => self.tell(now, Event::Timer(token)),
+            Deadline::AttemptTimeout(id, handle, attempt) => {
                 let call = self.table.get(&id).filter(|c| c.handle == handle);
                 if call.and_then(|c| c.out).is_some_and(|o| o.attempt == attempt) {
-                    self.counters.up("errors attempts timed out");
+                    self.counters.increment("errors attempts timed out");
                     self.give_up(now, id, Outcome::TimedOut);
                 }
             }
-            Due::Answer(id, handle) => {
+            Deadline::FinalAnswer(id, handle) => {
                 if self.table.get(&id).is_some_and(|c| c.owed && c.handle == handle) {
-                    self.counters.up("errors answers overdue");
+                    self.counters.increment("errors answers overdue");
                     let link = self.table[&id].link;
-                    self.say(Some(link), id, ToCaller::Failed);
+                    self.notify_caller(Some(link), id, CallerNotification::Failed);
                     self.abandon(now, id, true);
                 }
             }
-            Due::Gone(exchange) => {
+            Deadline::ExchangeRemoval(exchange) => {
                 let machine = self.directory.machine(exchange);
                 let lives = machine.filter(|m| m.standing != Standing::Gone);
                 let before = lives.map_or(Nanos::MAX, |m| m.since.unwrap_or(0));
                 self.exchange_ended(now, exchange, before);
                 if before == Nanos::MAX {
-                    self.commands.push_back(Command::Ended(exchange));
+                    self.commands.push_back(Command::RemoveExchange(exchange));
                 }
             }
-            Due::Measured => self.close_intervals(now, false),
-            Due::Forget => {
+            Deadline::IntervalEnd => self.close_intervals(now, false),
+            Deadline::ForgetEndedCalls => {
                 self.forgetting = false;
                 self.ended_calls.forget(now);
                 self.remind();
             }
-            Due::Link(_) => {}
+            Deadline::Engine(_) => {}
         }
     }
 
     /// Whether nothing is left to be told to the module or to be carried out.
-    pub fn settled(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.later.is_empty() && self.commands.is_empty()
     }
 
     /// Tells the module what came of its last actions, until nothing more does.
-    pub fn settle(&mut self, now: Nanos) {
+    pub fn dispatch_queued_events(&mut self, now: Nanos) {
         while let Some(event) = self.later.pop_front() {
             self.tell(now, event);
         }
@@ -570,7 +583,7 @@
         // A panic in the module costs what the event asked for, not the program; the guard on the final answer
         // serves a call that is left without one.
         if catch_unwind(AssertUnwindSafe(|| module.handle(now, event, &mut actions))).is_err() {
-            self.counters.up("errors panics in the module");
+            self.counters.increment("errors panics in the module");
         }
         for action in actions {
             self.act(now, action);
@@ -587,21 +600,27 @@
                     }
                 }
             }
-            Action::Refuse { call, pause } => self.final_answer(now, call, ToCaller::Refused(pause)),
-            Action::Fail(call) => self.final_answer(now, call, ToCaller::Failed),
-            Action::Timer(token, at) => self.deadlines.add(at, Due::Module(token)),
+            Action::Refuse { call, pause } => {
+                self.final_answer(now, call, CallerNotification::Refused(pause))
+            }
+            Action::Fail(call) => self.final_answer(now, call, CallerNotification::Failed),
+            Action::Timer(token, at) => self.deadlines.add(at, Deadline::ModuleTimer(token)),
             Action::Note(text) => tracing::info!(text, "note of the module"),
             // Probes are not allowed, and the journal is followed unasked.
             Action::Probe(_) | Action::Subscribe | Action::FetchList => {}
         }
     }
 
-    fn final_answer(&mut self, now: Nanos, handle: CallId, say: ToCaller) {
+    fn final_answer(&mut self, now: Nanos, handle: CallId, say: CallerNotification) {
         let Some(id) = self.ids.get(&handle).copied() else { return };
         let Some(link) = self.table.get(&id).filter(|c| c.owed).map(|c| c.link) else { return };
         tracing::debug!(call = format_args!("{id:016x}"), answer = ?say, "final answer");
-        self.counters.up(if say == ToCaller::Failed { "answered failed" } else { "answered refused" });
-        self.say(Some(link), id, say);
+        self.counters.increment(if say == CallerNotification::Failed {
+            "answered failed"
+        } else {
+            "answered refused"
+        });
+        self.notify_caller(Some(link), id, say);
         self.answered(id);
         self.give_up(now, id, Outcome::CalledOff);
         self.forget(now, id, true);
@@ -611,12 +630,12 @@
     // Ends
     // -----------------------------------------------------------------------------------------------------
 
-    fn say(&mut self, link: Option<CallerLink>, id: u64, say: ToCaller) {
-        self.commands.push_back(Command::Caller { link, id, say });
+    fn notify_caller(&mut self, conn: Option<CallerConnId>, call_id: u64, notification: CallerNotification) {
+        self.commands.push_back(Command::NotifyCaller { conn, call_id, notification });
     }
 
-    fn say_exchange(&mut self, to: ExchangeId, id: u64, say: ToExchange) {
-        self.commands.push_back(Command::Exchange { to, id, say });
+    fn request_exchange(&mut self, to: ExchangeId, call_id: u64, request: ExchangeRequest) {
+        self.commands.push_back(Command::RequestExchange { to, call_id, request });
     }
 
     /// The final answer is given, or owed no more. Tells the module's handle if it was owed until now.
@@ -654,7 +673,7 @@
     fn remind(&mut self) {
         if let (Some(due), false) = (self.ended_calls.due(), self.forgetting) {
             self.forgetting = true;
-            self.deadlines.add(due, Due::Forget);
+            self.deadlines.add(due, Deadline::ForgetEndedCalls);
         }
     }
 }
--- a/dillhold/src/codec/binary.rs
+++ b/dillhold/src/codec/binary.rs
@@ -1,6 +1,6 @@
 //! The callers' binary messages: `length:2 type:1 call:8 parameters`, a parameter being `code:1 length:2 value`.
 
-use super::{Parsed, Unreadable, MESSAGE_CAP};
+use super::{Parsed, Unreadable, MAX_MESSAGE_BYTES};
 
 /// Types of message.
 pub mod kind {
@@ -11,11 +11,11 @@
     /// A refusal, a set-up given up or a release, by when it comes; with a cause.
     pub const RELEASE: u8 = 12;
     /// A release was heard.
-    pub const RELEASE_HEARD: u8 = 16;
+    pub const RELEASE_ACK: u8 = 16;
     /// A test.
     pub const TEST: u8 = 52;
     /// The answer to a test.
-    pub const TESTED: u8 = 53;
+    pub const TEST_RESPONSE: u8 = 53;
 }
 
 /// Codes of parameters.
@@ -23,13 +23,13 @@
     /// The class of call.
     pub const CLASS: u8 = 100;
     /// How long the caller waits, in milliseconds.
-    pub const WAIT: u8 = 101;
+    pub const TIMEOUT_MS: u8 = 101;
     /// The number called.
-    pub const NUMBER: u8 = 104;
+    pub const CALLED_NUMBER: u8 = 104;
     /// Further figures, `name:value` joined by semicolons.
-    pub const FIGURES: u8 = 105;
+    pub const ATTRIBUTES: u8 = 105;
     /// The pause that the caller is asked to keep, in milliseconds.
-    pub const PAUSE: u8 = 106;
+    pub const RETRY_AFTER_MS: u8 = 106;
     /// The cause, one byte.
     pub const CAUSE: u8 = 114;
     /// The description of the call.
@@ -42,7 +42,7 @@
     /// Its type.
     pub kind: u8,
     /// The call it speaks of.
-    pub call: u64,
+    pub call_id: u64,
     parameters: &'a [u8],
 }
 
@@ -75,7 +75,7 @@
 pub fn parse(bytes: &[u8]) -> Parsed<Message<'_>> {
     let Some((length, rest)) = bytes.split_first_chunk::<2>() else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes(*length));
-    if length + 2 > MESSAGE_CAP {
+    if length + 2 > MAX_MESSAGE_BYTES {
         return Err(Unreadable::TooLong);
     }
     if length < 9 {
@@ -89,7 +89,7 @@
     while !left.is_empty() {
         left = first_parameter(left).ok_or(Unreadable::Malformed)?.2;
     }
-    Ok(Some((Message { kind: body[0], call: u64::from_be_bytes(*call), parameters }, length + 2)))
+    Ok(Some((Message { kind: body[0], call_id: u64::from_be_bytes(*call), parameters }, length + 2)))
 }
 
 /// Writes one message. A parameter that does not fit in a message is left out: what came in fitted.
@@ -98,7 +98,7 @@
     out.extend([0, 0, kind]);
     out.extend(call.to_be_bytes());
     for (code, value) in parameters {
-        if out.len() - start + 3 + value.len() <= MESSAGE_CAP {
+        if out.len() - start + 3 + value.len() <= MAX_MESSAGE_BYTES {
             out.push(*code);
             out.extend((value.len() as u16).to_be_bytes());
             out.extend(*value);
--- a/dillhold/src/codec/http.rs
+++ b/dillhold/src/codec/http.rs
@@ -7,7 +7,7 @@
 
 /// The most bytes of a journal answer's body. It may hold a whole list and many changes after a silence, so it
 /// is more than one message of the call protocols.
-pub const BODY_CAP: usize = 256 * 1024;
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
 /// One response.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
             None if status == 204 || status == 304 || status < 200 => 0,
             None => return Err(Unreadable::Malformed),
         };
-        if length > BODY_CAP as u64 {
+        if length > MAX_BODY_BYTES as u64 {
             return Err(Unreadable::TooLong);
         }
         rest.get(..length as usize).map(|body| (Cow::Borrowed(body), length as usize))
@@ -61,7 +61,7 @@
         let size = bytes[at..end].split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
         let size = std::str::from_utf8(size).ok().and_then(|t| usize::from_str_radix(t, 16).ok());
         let size = size.ok_or(Unreadable::Malformed)?;
-        if size > BODY_CAP - body.len() {
+        if size > MAX_BODY_BYTES - body.len() {
             return Err(Unreadable::TooLong);
         }
         at = end + 2;
--- a/dillhold/src/codec/mod.rs
+++ b/dillhold/src/codec/mod.rs
@@ -6,7 +6,7 @@
 pub mod sip;
 
 /// The most bytes of one message.
-pub const MESSAGE_CAP: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// Bytes that cannot be read on: the connection they came on has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,17 +21,17 @@
 pub type Parsed<T> = Result<Option<(T, usize)>, Unreadable>;
 
 /// Sixteen hex digits: how a call is named in text.
-pub fn call_id(text: &[u8]) -> Option<u64> {
+pub fn parse_call_id(text: &[u8]) -> Option<u64> {
     let digits = text.len() == 16 && text.iter().all(u8::is_ascii_hexdigit);
     std::str::from_utf8(text).ok().filter(|_| digits).and_then(|t| u64::from_str_radix(t, 16).ok())
 }
 
 /// Where the blank line ends that closes a head of CRLF lines, if it has come. Over the cap it is an error.
 fn head_end(bytes: &[u8]) -> Result<Option<usize>, Unreadable> {
-    let seen = &bytes[..bytes.len().min(MESSAGE_CAP)];
+    let seen = &bytes[..bytes.len().min(MAX_MESSAGE_BYTES)];
     match seen.windows(4).position(|w| w == b"\r\n\r\n") {
         Some(at) => Ok(Some(at + 4)),
-        None if seen.len() == MESSAGE_CAP => Err(Unreadable::TooLong),
+        None if seen.len() == MAX_MESSAGE_BYTES => Err(Unreadable::TooLong),
         None => Ok(None),
     }
 }
@@ -81,7 +81,7 @@
 }
 
 /// Figures in text: `name:value` joined by semicolons. What has no colon is skipped.
-pub fn figures(text: &[u8]) -> impl Iterator<Item = (&[u8], &[u8])> {
+pub fn attributes(text: &[u8]) -> impl Iterator<Item = (&[u8], &[u8])> {
     text.split(|b| *b == b';').filter_map(|figure| {
         let colon = figure.iter().position(|b| *b == b':')?;
         Some((figure[..colon].trim_ascii(), figure[colon + 1..].trim_ascii()))
--- a/dillhold/src/codec/sip.rs
+++ b/dillhold/src/codec/sip.rs
@@ -2,11 +2,11 @@
 
 use std::fmt::Write;
 
-use super::{body_length, call_id, decimal, head_end, header, Parsed, Unreadable, MESSAGE_CAP};
+use super::{body_length, decimal, head_end, header, parse_call_id, Parsed, Unreadable, MAX_MESSAGE_BYTES};
 
 /// What a message is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start<'a> {
+pub enum StartLine<'a> {
     /// A request of this method.
     Request(&'a [u8]),
     /// A response with this status.
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
     /// What it is.
-    pub start: Start<'a>,
+    pub start_line: StartLine<'a>,
     head: &'a [u8],
     /// The body, byte for byte.
     pub body: &'a [u8],
@@ -32,12 +32,12 @@
     /// The address in the first line of a request.
     pub fn uri(&self) -> Option<&'a [u8]> {
         let line = self.head.split(|b| *b == b'\r').next()?;
-        line.split(|b| *b == b' ').nth(1).filter(|_| matches!(self.start, Start::Request(_)))
+        line.split(|b| *b == b' ').nth(1).filter(|_| matches!(self.start_line, StartLine::Request(_)))
     }
 
     /// The call that `Call-ID` names.
-    pub fn call(&self) -> Option<u64> {
-        header(self.head, &["Call-ID", "i"]).and_then(call_id)
+    pub fn call_id(&self) -> Option<u64> {
+        header(self.head, &["Call-ID", "i"]).and_then(parse_call_id)
     }
 
     /// The raw `Call-ID`, whatever it holds.
@@ -46,7 +46,7 @@
     }
 
     /// Number and method of `CSeq`.
-    pub fn sequence(&self) -> Option<(u32, &'a [u8])> {
+    pub fn cseq(&self) -> Option<(u32, &'a [u8])> {
         let value = self.header("CSeq")?;
         let gap = value.iter().position(u8::is_ascii_whitespace)?;
         let number = decimal(&value[..gap]).and_then(|n| u32::try_from(n).ok())?;
@@ -62,35 +62,35 @@
     }
 }
 
-fn start(line: &[u8]) -> Option<Start<'_>> {
+fn parse_start_line(line: &[u8]) -> Option<StartLine<'_>> {
     let mut words = line.split(|b| *b == b' ');
     let (first, second, third) = (words.next()?, words.next()?, words.next());
     if first == b"SIP/2.0" {
         let code = decimal(second).filter(|c| (100..700).contains(c))?;
-        return Some(Start::Response(code as u16));
+        return Some(StartLine::Response(code as u16));
     }
     let method = !first.is_empty() && first.iter().all(u8::is_ascii_uppercase);
-    Some(Start::Request(first)).filter(|_| method && third == Some(b"SIP/2.0"))
+    Some(StartLine::Request(first)).filter(|_| method && third == Some(b"SIP/2.0"))
 }
 
 /// Reads the first message. Empty lines before it, which keep connections alive, count to its length.
 pub fn parse(bytes: &[u8]) -> Parsed<Message<'_>> {
     let skipped = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-    if skipped > MESSAGE_CAP {
+    if skipped > MAX_MESSAGE_BYTES {
         return Err(Unreadable::TooLong);
     }
     let bytes = &bytes[skipped..];
     let Some(end) = head_end(bytes)? else { return Ok(None) };
     let head = &bytes[..end];
     let line = head.split(|b| *b == b'\r').next().unwrap_or_default();
-    let start = start(line).ok_or(Unreadable::Malformed)?;
+    let start_line = parse_start_line(line).ok_or(Unreadable::Malformed)?;
     let length = body_length(head, &["Content-Length", "l"])?.ok_or(Unreadable::Malformed)?;
-    if length > (MESSAGE_CAP - end) as u64 {
+    if length > (MAX_MESSAGE_BYTES - end) as u64 {
         return Err(Unreadable::TooLong);
     }
     let whole = end + length as usize;
     let Some(body) = bytes.get(end..whole) else { return Ok(None) };
-    Ok(Some((Message { start, head, body }, skipped + whole)))
+    Ok(Some((Message { start_line, head, body }, skipped + whole)))
 }
 
 /// Writes one message: its first line, `Call-ID`, `CSeq`, further headers and the body.
--- a/dillhold/src/counters.rs
+++ b/dillhold/src/counters.rs
@@ -9,7 +9,7 @@
 
 impl Counters {
     /// Counts one more.
-    pub fn up(&mut self, name: &'static str) {
+    pub fn increment(&mut self, name: &'static str) {
         *self.0.entry(name).or_insert(0) += 1;
     }
 
--- a/dillhold/src/deadlines.rs
+++ b/dillhold/src/deadlines.rs
@@ -25,13 +25,13 @@
     }
 
     /// When the earliest is due.
-    pub fn first(&self) -> Option<Nanos> {
+    pub fn earliest(&self) -> Option<Nanos> {
         self.sorted.first_key_value().map(|((at, _), _)| *at)
     }
 
     /// Takes out all that is due. What is added while these are worked on waits for the next turn, even if it
     /// is due at once: the module counts on a timer never coming within the turn that asked for it.
-    pub fn sweep(&mut self, now: Nanos) -> Vec<T> {
+    pub fn take_expired(&mut self, now: Nanos) -> Vec<T> {
         let later = self.sorted.split_off(&(now + 1, 0));
         std::mem::replace(&mut self.sorted, later).into_values().collect()
     }
--- a/dillhold/src/directory.rs
+++ b/dillhold/src/directory.rs
@@ -13,7 +13,7 @@
 
 /// On sockets every time limit of the rules is this much longer. The wait after an attempt that may have left
 /// something behind is kept longer by as much, for the word that ends it takes that long to arrive.
-pub const SLACK: Nanos = 50 * MS;
+pub const SOCKET_DELAY_ALLOWANCE: Nanos = 50 * MS;
 
 /// The configuration file, as far as it is used.
 #[derive(Debug, Deserialize)]
@@ -26,7 +26,7 @@
     pub journal: std::net::SocketAddr,
     /// The journal events up to now.
     #[serde(default)]
-    pub known: Answer,
+    pub known: JournalAnswer,
     /// What the program may use.
     pub limits: Limits,
     /// The settings, as the simulator gives them.
@@ -52,16 +52,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Connections from callers.
-    pub callers: usize,
+    pub max_callers: usize,
     /// Connections of all kinds.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes of the set-ups that are owed an answer: a quarter of the memory.
-    pub open_bytes: usize,
+    pub max_open_bytes: usize,
     /// Bytes in the buffers of all connections: a quarter.
-    pub buffered: usize,
+    pub max_buffered_bytes: usize,
     /// Calls that stand; also ids of calls that ended lately, releases without a connection, and numbers that
     /// were dialled. Each may take one of these kilobytes: an eighth.
-    pub standing: usize,
+    pub max_standing_calls: usize,
 }
 
 impl Limits {
@@ -69,18 +69,18 @@
     pub fn bounds(&self) -> Bounds {
         let (sockets, memory) = (self.sockets.max(64), self.memory_mb.max(16) * 1024 * 1024);
         Bounds {
-            callers: sockets / 2,
-            connections: sockets - 32,
-            open_bytes: memory / 4,
-            buffered: memory / 4,
-            standing: (memory / 8 / 1024).min(20_000),
+            max_callers: sockets / 2,
+            max_connections: sockets - 32,
+            max_open_bytes: memory / 4,
+            max_buffered_bytes: memory / 4,
+            max_standing_calls: (memory / 8 / 1024).min(20_000),
         }
     }
 }
 
 /// An answer of the journal service.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Answer {
+pub struct JournalAnswer {
     /// The last event there is.
     #[serde(default)]
     pub pos: u64,
@@ -130,7 +130,7 @@
 
 /// The settings in the forms that the parts need.
 #[derive(Debug)]
-pub struct Told {
+pub struct ControllerSettings {
     /// For the module.
     pub module: Settings,
     /// Seed of the module's random numbers.
@@ -146,17 +146,17 @@
 }
 
 /// Reads the settings through the same reader that serves the simulator's wire.
-pub fn read_settings(config: &Config) -> Result<Told, String> {
+pub fn read_settings(config: &Config) -> Result<ControllerSettings, String> {
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|e| format!("configuration: seed: {e}"))?;
     let settings = &config.settings;
     let launch = Message::parse(&json!(["LAUNCH", "agent/0", seed, settings]).to_string());
     let (_, mut module, seed) = launch.and_then(|m| Names::launch(&m)).map_err(|e| e.to_string())?;
     module.check().map_err(|e| format!("configuration: settings: {e}"))?;
-    module.release += SLACK;
+    module.release += SOCKET_DELAY_ALLOWANCE;
     let grades = settings["grades"].as_array().into_iter().flatten();
     let permissions = &settings["permissions"];
     let field = |i: usize, usual: &str| settings["report"]["fields"][i].as_str().unwrap_or(usual).to_string();
-    Ok(Told {
+    Ok(ControllerSettings {
         module,
         seed,
         classes: grades.map(|g| g["name"].as_str().unwrap_or_default().to_string()).collect(),
@@ -182,11 +182,11 @@
 
 /// What a journal answer changed.
 #[derive(Debug, Default)]
-pub struct News {
+pub struct DirectoryUpdate {
     /// List events for the module, in order.
     pub lists: Vec<(ListKind, Vec<Entry>)>,
     /// Machines whose process has ended: they left the list or started anew.
-    pub ended: Vec<ExchangeId>,
+    pub ended_exchanges: Vec<ExchangeId>,
 }
 
 fn zones(settings: &Value) -> Vec<String> {
@@ -212,7 +212,7 @@
     }
 
     /// Takes the names of the zones from other settings.
-    pub fn rezone(&mut self, settings: &Value) {
+    pub fn update_zones(&mut self, settings: &Value) {
         self.zones = zones(settings);
     }
 
@@ -227,14 +227,14 @@
     }
 
     /// Drops a machine that has left the list and has no more calls.
-    pub fn drop_gone(&mut self, id: ExchangeId) {
+    pub fn remove_gone(&mut self, id: ExchangeId) {
         self.machines.retain(|i, m| *i != id || m.standing != Standing::Gone);
     }
 
     /// Takes in an answer of the journal. An error means that events are missing between those known and
     /// those told: all have to be asked for again.
-    pub fn take(&mut self, answer: Answer) -> Result<News, MissingEvents> {
-        let mut news = News::default();
+    pub fn apply(&mut self, answer: JournalAnswer) -> Result<DirectoryUpdate, MissingEvents> {
+        let mut news = DirectoryUpdate::default();
         for event in answer.entries {
             if event.pos <= self.position {
                 continue;
@@ -252,7 +252,7 @@
         Ok(news)
     }
 
-    fn hosts(&mut self, hosts: Hosts, news: &mut News) {
+    fn hosts(&mut self, hosts: Hosts, news: &mut DirectoryUpdate) {
         let kind = match (hosts.all, self.listed) {
             (false, _) => ListKind::Changes,
             (true, false) => ListKind::Restored,
@@ -264,7 +264,7 @@
             for (id, machine) in &mut self.machines {
                 if machine.standing != Standing::Gone && !named(&machine.uid) {
                     machine.standing = Standing::Gone;
-                    news.ended.push(*id);
+                    news.ended_exchanges.push(*id);
                 }
             }
         }
@@ -272,7 +272,7 @@
         news.lists.push((kind, entries));
     }
 
-    fn host(&mut self, host: Host, news: &mut News) -> Entry {
+    fn host(&mut self, host: Host, news: &mut DirectoryUpdate) -> Entry {
         let known = self.machines.iter().find(|(_, m)| m.uid == host.uid).map(|(id, _)| *id);
         let id = known.unwrap_or(self.next);
         self.next = self.next.max(id + 1);
@@ -285,7 +285,7 @@
         if let Some(old) = self.machines.get(&id) {
             let gone = standing == Standing::Gone && old.standing != Standing::Gone;
             if gone || old.since != since {
-                news.ended.push(id);
+                news.ended_exchanges.push(id);
             }
         }
         let number = host.pod_group;
@@ -300,7 +300,7 @@
 
 /// Events are missing; what came before the gap was taken in.
 #[derive(Debug)]
-pub struct MissingEvents(pub News);
+pub struct MissingEvents(pub DirectoryUpdate);
 
 #[cfg(test)]
 mod tests {
@@ -309,7 +309,7 @@
     /// Uid, state and `boot_ms`.
     type Target = (&'static str, &'static str, u64);
 
-    fn answer(events: &[(u64, bool, &[Target])]) -> Answer {
+    fn answer(events: &[(u64, bool, &[Target])]) -> JournalAnswer {
         let entries = events.iter().map(|(pos, all, targets)| {
             let targets = targets.iter().map(|(uid, state, boot)| {
                 json!({"uid": uid, "endpoint": "10.1.0.9:2905", "az": "b", "pod_group": 2, "state": state,
@@ -323,7 +323,7 @@
     fn directory() -> Directory {
         let mut directory = Directory::new(&json!({"dcs": ["a", "b"]}));
         let first: &[_] = &[("s-1", "SERVING", 0), ("s-2", "SERVING", 0)];
-        let news = directory.take(answer(&[(1, true, first)])).unwrap();
+        let news = directory.apply(answer(&[(1, true, first)])).unwrap();
         assert_eq!(news.lists[0].0, ListKind::Restored);
         assert_eq!(news.lists[0].1[0].zone, 1);
         directory
@@ -333,13 +333,13 @@
     fn a_restart_and_a_deletion_end_a_machine_and_a_drain_does_not() {
         let mut directory = directory();
         let events: &[_] = &[("s-1", "DRAINING", 0), ("s-2", "SERVING", 1_796_136_102_515)];
-        let news = directory.take(answer(&[(1, false, events), (2, false, events)])).unwrap();
+        let news = directory.apply(answer(&[(1, false, events), (2, false, events)])).unwrap();
         assert_eq!(news.lists.len(), 1, "an event that is known is not told again");
         assert_eq!(news.lists[0].1[1].since, Some(1_796_136_102_515_000_000));
-        assert_eq!(news.ended, vec![1]);
+        assert_eq!(news.ended_exchanges, vec![1]);
         let events: &[_] = &[("s-1", "DELETED", 0), ("s-7", "DELETED", 0)];
-        assert_eq!(directory.take(answer(&[(3, false, events)])).unwrap().ended, vec![0]);
-        directory.drop_gone(0);
+        assert_eq!(directory.apply(answer(&[(3, false, events)])).unwrap().ended_exchanges, vec![0]);
+        directory.remove_gone(0);
         assert_eq!(directory.machines().map(|(id, _)| id).collect::<Vec<_>>(), vec![1]);
     }
 
@@ -347,10 +347,10 @@
     fn missing_events_are_asked_for_from_the_start_and_a_whole_list_ends_who_is_not_on_it() {
         let mut directory = directory();
         let one: &[_] = &[("s-1", "SERVING", 0)];
-        assert!(directory.take(answer(&[(4, false, one)])).is_err());
+        assert!(directory.apply(answer(&[(4, false, one)])).is_err());
         assert_eq!(directory.position, 0);
-        let news = directory.take(answer(&[(1, true, one), (2, false, one)])).unwrap();
-        assert_eq!((news.lists[0].0, news.ended), (ListKind::Whole, vec![1]));
+        let news = directory.apply(answer(&[(1, true, one), (2, false, one)])).unwrap();
+        assert_eq!((news.lists[0].0, news.ended_exchanges), (ListKind::Whole, vec![1]));
         assert_eq!(directory.position, 2);
     }
 }
--- a/dillhold/src/engine/callers.rs
+++ b/dillhold/src/engine/callers.rs
@@ -4,9 +4,9 @@
 
 use super::close_reason::CloseReason;
 use super::{ConnId, Engine, Peer};
-use crate::call::{CallerLink, Due, LinkDue, ToCaller};
+use crate::call::{CallerConnId, CallerNotification, Deadline, EngineDeadline};
 use crate::clock::MS;
-use crate::session::caller::Caller;
+use crate::session::caller::CallerSession;
 
 /// A connection that was told nothing within this time is closed, unless a set-up is open on it: whoever sends
 /// nothing, or nothing that can be answered, is owed a word or a close within 3 s.
@@ -40,15 +40,16 @@
 impl Engine {
     /// A caller connects. Tells the number of its connection, or that there is no room for it.
     pub fn accepted(&mut self) -> Option<ConnId> {
-        let full = self.callers.count >= self.bounds.callers || self.conns.len() >= self.bounds.connections;
+        let full =
+            self.callers.count >= self.bounds.max_callers || self.conns.len() >= self.bounds.max_connections;
         if full && !self.make_room() {
-            self.calls.counters.up("errors callers over the limit");
+            self.calls.counters.increment("errors callers over the limit");
             return None;
         }
-        let token = self.add(Peer::Caller(Caller::default()), false);
+        let token = self.add(Peer::Caller(CallerSession::default()), false);
         self.callers.count += 1;
-        self.calls.counters.up("taken caller connections");
-        self.calls.deadlines.add(self.now + NO_WORD, Due::Link(LinkDue::Caller(token)));
+        self.calls.counters.increment("taken caller connections");
+        self.calls.deadlines.add(self.now + NO_WORD, Deadline::Engine(EngineDeadline::CallerCheck(token)));
         self.touched.insert(token);
         self.deliver(None);
         Some(token)
@@ -63,7 +64,7 @@
         let free = |token: &u64| !self.calls.has_calls(*token) && self.pending(*token).is_empty();
         let callers = self.conns.iter().filter_map(|(token, conn)| match &conn.peer {
             Peer::Caller(caller) => {
-                Some((caller.proven, if caller.proven { caller.heard } else { 0 }, *token))
+                Some((caller.confirmed, if caller.confirmed { caller.last_message_at } else { 0 }, *token))
             }
             _ => None,
         });
@@ -81,9 +82,9 @@
         let Some(conn) = self.conns.get(&token) else { return };
         let Peer::Caller(caller) = &conn.peer else { return };
         let since = |at: Nanos| self.now.saturating_sub(at);
-        let half = !caller.inbox.rest().is_empty() && since(conn.read) >= HALF;
-        let no_word = !caller.answered && !self.calls.open_on(token);
-        let quiet = since(caller.heard.max(conn.opened)) >= IDLE;
+        let half = !caller.read_buffer.unread().is_empty() && since(conn.read) >= HALF;
+        let no_word = !caller.notified && !self.calls.has_open_set_ups(token);
+        let quiet = since(caller.last_message_at.max(conn.opened)) >= IDLE;
         let idle = quiet && !self.calls.has_calls(token) && self.callers.count > IDLE_KEPT;
         let reason = match (half, no_word, idle) {
             (true, _, _) => Some(CloseReason::CallerMessageIncomplete),
@@ -94,16 +95,16 @@
         if let Some(reason) = reason {
             return self.close(token, reason);
         }
-        self.calls.deadlines.add(self.now + LOOK, Due::Link(LinkDue::Caller(token)));
+        self.calls.deadlines.add(self.now + LOOK, Deadline::Engine(EngineDeadline::CallerCheck(token)));
     }
 
-    pub(super) fn say_caller(&mut self, link: Option<CallerLink>, id: u64, say: &ToCaller) {
+    pub(super) fn say_caller(&mut self, link: Option<CallerConnId>, id: u64, say: &CallerNotification) {
         let own = link.filter(|token| self.is_caller(*token));
         let token = match say {
             // What ends a call that stands may go to any caller, by the connection of its set-up first. To be
             // known as a caller's a connection must have been told of a call that stands: whoever only tests
             // or says nothing will hardly listen.
-            ToCaller::Released(_) => {
+            CallerNotification::Released(_) => {
                 let proven = |token: &u64| self.can_hear(*token, true);
                 own.filter(|t| self.can_hear(*t, false))
                     .or_else(|| self.conns.keys().rev().copied().find(proven))
@@ -112,26 +113,30 @@
         };
         match (token, say) {
             (Some(token), say) => self.write_caller(token, id, say),
-            (None, ToCaller::Released(cause)) if self.callers.undelivered.len() < self.bounds.standing => {
+            (None, CallerNotification::Released(cause))
+                if self.callers.undelivered.len() < self.bounds.max_standing_calls =>
+            {
                 self.callers.undelivered.push((self.now, id, *cause));
-                self.calls.deadlines.add(self.now + FOR_A_CALLER, Due::Link(LinkDue::Releases));
+                self.calls
+                    .deadlines
+                    .add(self.now + FOR_A_CALLER, Deadline::Engine(EngineDeadline::DeliverReleases));
             }
-            _ => self.calls.counters.up("errors answers without a connection"),
+            _ => self.calls.counters.increment("errors answers without a connection"),
         }
     }
 
     /// Whether a caller's connection can still be written to, and is known to be one if that is asked for.
     fn can_hear(&self, token: ConnId, proven: bool) -> bool {
         let conn = self.conns.get(&token).filter(|c| !c.ended && !c.unreadable && !c.finishing);
-        conn.is_some_and(|c| matches!(&c.peer, Peer::Caller(caller) if caller.proven || !proven))
+        conn.is_some_and(|c| matches!(&c.peer, Peer::Caller(caller) if caller.confirmed || !proven))
     }
 
-    fn write_caller(&mut self, token: ConnId, id: u64, say: &ToCaller) {
+    fn write_caller(&mut self, token: ConnId, id: u64, say: &CallerNotification) {
         let Some(Peer::Caller(caller)) = self.conns.get_mut(&token).map(|c| &mut c.peer) else { return };
-        let first = !caller.proven;
-        caller.say(self.now, id, say);
+        let first = !caller.confirmed;
+        caller.send(self.now, id, say);
         self.touched.insert(token);
-        if first && matches!(say, ToCaller::Answer(_)) {
+        if first && matches!(say, CallerNotification::Answer(_)) {
             self.deliver(Some(token));
         }
     }
@@ -159,7 +164,8 @@
                     ?to,
                     "release told on other connections"
                 );
-                to.iter().for_each(|token| self.write_caller(*token, id, &ToCaller::Released(cause)));
+                to.iter()
+                    .for_each(|token| self.write_caller(*token, id, &CallerNotification::Released(cause)));
             }
         }
     }
@@ -168,7 +174,7 @@
     /// connect too: what ends a call is told to several.
     fn may_be_callers(&self) -> Vec<ConnId> {
         let sound = |token: &ConnId| match self.conns.get(token).map(|c| &c.peer) {
-            Some(Peer::Caller(caller)) => self.can_hear(*token, false) && caller.is_sound(),
+            Some(Peer::Caller(caller)) => self.can_hear(*token, false) && caller.is_well_behaved(),
             _ => false,
         };
         self.conns.keys().rev().copied().filter(sound).take(TOLD_AT_ONCE).collect()
--- a/dillhold/src/engine/discovery.rs
+++ b/dillhold/src/engine/discovery.rs
@@ -10,14 +10,14 @@
 use pitchgw::interface::Nanos;
 
 use crate::clock::MS;
-use crate::session::journal::HOLD_MS;
+use crate::session::journal::LONG_POLL_MS;
 
 /// Pause before the next question after an answer that came too soon, or after a first failure.
 const FIRST_PAUSE: Nanos = 200 * MS;
 /// The same after a failure that follows a failure: a service that is down or crowded is asked less often.
 const NEXT_PAUSE: Nanos = 400 * MS;
 /// The wait that is asked for.
-const HOLD: Nanos = HOLD_MS * MS;
+const HOLD: Nanos = LONG_POLL_MS * MS;
 /// An answer is overdue so long after the service should have given it at the latest. What a silent service would have
 /// told counts as told 2 s after the end of the wait; 0.6 s are left to ask again. Given up sooner, a service that is
 /// only slow would be asked more often, and answer no call.
--- a/dillhold/src/engine/exchanges.rs
+++ b/dillhold/src/engine/exchanges.rs
@@ -8,9 +8,9 @@
 use super::close_reason::CloseReason;
 use super::failure_detector::FailureDetector;
 use super::{ConnId, Engine, Peer};
-use crate::call::{AttemptProgress, Due, LinkDue, ToExchange};
+use crate::call::{AttemptProgress, Deadline, EngineDeadline, ExchangeRequest};
 use crate::clock::MS;
-use crate::session::exchange::Exchange;
+use crate::session::exchange::ExchangeSession;
 
 /// Pause before an exchange is connected to again after it could not be reached.
 const REDIAL: Nanos = 250 * MS;
@@ -30,7 +30,7 @@
 
 /// The link to an exchange, across its connections.
 pub struct Link {
-    pub session: Exchange,
+    pub session: ExchangeSession,
     pub(super) address: SocketAddr,
     pub(super) conn: Option<ConnId>,
     /// A connection that checks whether the exchange lives.
@@ -55,7 +55,7 @@
         self.unheard_since = None;
         self.silent = 0;
         self.heard_at = now;
-        if self.session.asked {
+        if self.session.has_requests {
             self.detector.heard(now);
         } else {
             self.detector.heard_unasked(now, self.up_at);
@@ -76,7 +76,7 @@
 impl Engine {
     /// Brings the links in step with the list.
     pub(super) fn listed(&mut self) {
-        let home = self.calls.told().module.home;
+        let home = self.calls.settings().module.home;
         let wanted = self.calls.directory.machines().filter(|(_, m)| Some(m.number) != home);
         let wanted: Vec<_> = wanted.map(|(id, m)| (id, m.address, m.standing)).collect();
         for (id, address, standing) in wanted {
@@ -88,7 +88,7 @@
                 self.drop_link(id);
             }
             if let Entry::Vacant(place) = self.links.entry(id) {
-                let session = Exchange::default();
+                let session = ExchangeSession::default();
                 place.insert(Link {
                     session,
                     address,
@@ -104,7 +104,7 @@
                     silent: 0,
                 });
                 self.connect(id);
-                if self.calls.standing_at(id) > 0 {
+                if self.calls.standing_calls_at(id) > 0 {
                     self.watch(id);
                 }
             }
@@ -115,7 +115,7 @@
         self.end_check(id);
         if let Some(link) = self.links.remove(&id) {
             link.conn.and_then(|token| self.forget(token));
-            self.calls.exchange_lost(self.now, id, &[]);
+            self.calls.exchange_disconnected(self.now, id, &[]);
         }
     }
 
@@ -135,23 +135,25 @@
             link.up_at = self.now;
             link.heard_at = self.now;
             link.detector.connected(self.now);
-            if link.session.holds_set_ups() {
+            if link.session.has_unsent_set_ups() {
                 self.listen_for(id);
             }
             self.reachable_again(id);
         }
         tracing::info!(exchange = id, "exchange connected");
-        self.calls.counters.up("sent exchange connections");
+        self.calls.counters.increment("sent exchange connections");
     }
 
     /// Bytes came from an exchange; false if they cannot be read.
     pub(super) fn exchange_said(&mut self, id: ExchangeId, token: ConnId) -> bool {
         let Some(link) = self.links.get_mut(&id) else { return false };
         link.heard(self.now);
-        let before = link.session.half;
-        let readable = link.session.feed(self.now, id, &mut self.calls).is_ok();
-        if link.session.half.is_some() && link.session.half != before {
-            self.calls.deadlines.add(self.now + HALF, Due::Link(LinkDue::Half(id, token)));
+        let before = link.session.incomplete_since;
+        let readable = link.session.process_input(self.now, id, &mut self.calls).is_ok();
+        if link.session.incomplete_since.is_some() && link.session.incomplete_since != before {
+            self.calls
+                .deadlines
+                .add(self.now + HALF, Deadline::Engine(EngineDeadline::IncompleteMessage(id, token)));
         }
         readable
     }
@@ -166,7 +168,7 @@
     pub(super) fn link_lost(&mut self, id: ExchangeId, connect_failed: bool, refused: bool) {
         let Some(link) = self.links.get_mut(&id) else { return };
         (link.conn, link.unheard_since) = (None, None);
-        let unsent = link.session.lost();
+        let unsent = link.session.connection_lost();
         let ended = refused && link.count_refusal(self.now);
         if !refused {
             link.refused = 0;
@@ -176,9 +178,9 @@
             // that ended as soon as it was up is not, or the two would keep each other busy.
             link.redial = true;
             let pause = if connect_failed || self.now < link.up_at + REDIAL { REDIAL } else { 0 };
-            self.calls.deadlines.add(self.now + pause, Due::Link(LinkDue::Redial(id)));
+            self.calls.deadlines.add(self.now + pause, Deadline::Engine(EngineDeadline::Reconnect(id)));
         }
-        self.calls.exchange_lost(self.now, id, &unsent);
+        self.calls.exchange_disconnected(self.now, id, &unsent);
         if ended {
             self.calls.exchange_ended(self.now, id, Nanos::MAX);
         }
@@ -189,7 +191,7 @@
         let Some(link) = self.links.get_mut(&id) else { return };
         if let (Some(token), None) = (link.conn, link.unheard_since) {
             link.unheard_since = Some(self.now);
-            let due = Due::Link(LinkDue::Silent(id, token));
+            let due = Deadline::Engine(EngineDeadline::SilenceTimeout(id, token));
             self.calls.deadlines.add(self.now + (SILENT << link.silent), due);
         }
     }
@@ -204,27 +206,27 @@
 
     pub(super) fn half_due(&mut self, id: ExchangeId, token: ConnId) {
         let link = self.links.get(&id).filter(|l| l.conn == Some(token));
-        if link.and_then(|l| l.session.half).is_some_and(|since| self.now >= since + HALF) {
+        if link.and_then(|l| l.session.incomplete_since).is_some_and(|since| self.now >= since + HALF) {
             self.close(token, CloseReason::ExchangeMessageIncomplete);
         }
     }
 
-    pub(super) fn say_exchange(&mut self, to: ExchangeId, id: u64, say: &ToExchange) {
+    pub(super) fn say_exchange(&mut self, to: ExchangeId, id: u64, say: &ExchangeRequest) {
         let Some(link) = self.links.get_mut(&to) else {
-            if let ToExchange::SetUp { attempt, .. } = say {
+            if let ExchangeRequest::SetUp { attempt, .. } = say {
                 self.calls.attempt_lost(self.now, id, *attempt, AttemptProgress::NeverSent);
             }
             return;
         };
-        let goes = link.session.say(id, say);
+        let goes = link.session.send(id, say);
         let conn = link.conn;
-        if let (ToExchange::SetUp { attempt, .. }, false) = (say, goes) {
+        if let (ExchangeRequest::SetUp { attempt, .. }, false) = (say, goes) {
             self.calls.attempt_lost(self.now, id, *attempt, AttemptProgress::NeverSent);
         }
         match conn {
             Some(token) => {
                 self.touched.insert(token);
-                if matches!(say, ToExchange::SetUp { .. }) && self.is_up(token) {
+                if matches!(say, ExchangeRequest::SetUp { .. }) && self.is_up(token) {
                     self.listen_for(to);
                 }
             }
--- a/dillhold/src/engine/journal.rs
+++ b/dillhold/src/engine/journal.rs
@@ -5,9 +5,9 @@
 use super::close_reason::CloseReason;
 use super::discovery::{Discovery, Failure};
 use super::{ConnId, Engine, Peer};
-use crate::call::{Due, LinkDue};
+use crate::call::{Deadline, EngineDeadline};
 use crate::directory;
-use crate::session::journal::Journal;
+use crate::session::journal::JournalSession;
 
 /// The journal service with the connection to it.
 pub struct Feed {
@@ -29,35 +29,35 @@
         }
         let host = self.feed.discovery.address();
         if self.feed.conn.is_none() {
-            self.feed.conn = self.dial(host, Peer::Journal(Journal::default()));
+            self.feed.conn = self.dial(host, Peer::Journal(JournalSession::default()));
         }
         let after = self.calls.directory.position;
         let conn = self.feed.conn.and_then(|token| self.conns.get_mut(&token));
         let Some((token, Peer::Journal(journal))) = self.feed.conn.zip(conn.map(|c| &mut c.peer)) else {
             return self.call_failed(Failure::NotConnected);
         };
-        journal.ask(after, host);
+        journal.send_poll(after, host);
         self.touched.insert(token);
         let overdue_at = self.feed.discovery.asked(self.now);
-        self.calls.deadlines.add(overdue_at, Due::Link(LinkDue::Journal(token)));
+        self.calls.deadlines.add(overdue_at, Deadline::Engine(EngineDeadline::JournalTimeout(token)));
     }
 
-    pub(super) fn journal_answered(&mut self, answer: directory::Answer, kept: bool) {
-        self.calls.counters.up("taken journal answers");
+    pub(super) fn journal_answered(&mut self, answer: directory::JournalAnswer, kept: bool) {
+        self.calls.counters.increment("taken journal answers");
         let has_news = !answer.entries.is_empty();
-        let taken = self.calls.directory.take(answer);
+        let taken = self.calls.directory.apply(answer);
         let is_complete = taken.is_ok();
         if !is_complete {
-            self.calls.counters.up("errors journal events missing");
+            self.calls.counters.increment("errors journal events missing");
         }
         let news = taken.unwrap_or_else(|missing| missing.0);
-        self.calls.news(self.now, news);
+        self.calls.apply_directory_update(self.now, news);
         if !kept {
             let token = self.feed.conn.take();
             token.and_then(|token| self.forget(token));
         }
         let pause = self.feed.discovery.answered(self.now, has_news, is_complete);
-        self.calls.deadlines.add(self.now + pause, Due::Link(LinkDue::Ask));
+        self.calls.deadlines.add(self.now + pause, Deadline::Engine(EngineDeadline::PollJournal));
     }
 
     /// The connection to the journal is gone, or did not come up.
@@ -73,7 +73,7 @@
 
     fn call_failed(&mut self, failure: Failure) {
         let pause = self.feed.discovery.failed(failure);
-        self.calls.deadlines.add(self.now + pause, Due::Link(LinkDue::Ask));
+        self.calls.deadlines.add(self.now + pause, Deadline::Engine(EngineDeadline::PollJournal));
     }
 
     /// The journal must have answered by now. One that is silent and stays open is left: its events are asked
--- a/dillhold/src/engine/leave.rs
+++ b/dillhold/src/engine/leave.rs
@@ -6,7 +6,7 @@
 use super::close_reason::CloseReason;
 use super::shutdown::Phase;
 use super::{ConnId, Engine, Output, Peer};
-use crate::call::{Due, LinkDue};
+use crate::call::{Deadline, EngineDeadline};
 use crate::clock::MS;
 
 /// While leaving, a connection is closed when nothing has come on it for so long and nothing is left on it. A set-up
@@ -19,12 +19,12 @@
     /// The signal to end: goes on serving for a while, then takes no more callers and leaves once no set-up is open
     /// and no connection has a call that stands, at the latest some time after the longest deadline.
     pub fn end(&mut self) {
-        let longest = self.calls.told().module.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = self.calls.settings().module.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let Some(plan) = self.shutdown.signalled(self.now, longest) else { return };
-        tracing::info!(open = self.calls.open(), ?plan, "told to end: draining");
+        tracing::info!(open = self.calls.open_set_ups(), ?plan, "told to end: draining");
         self.calls.answer_all_by(plan.answer_by);
-        self.calls.deadlines.add(plan.stop_listening, Due::Link(LinkDue::StopListening));
-        self.calls.deadlines.add(plan.leave, Due::Link(LinkDue::Leave));
+        self.calls.deadlines.add(plan.stop_listening, Deadline::Engine(EngineDeadline::StopListening));
+        self.calls.deadlines.add(plan.leave, Deadline::Engine(EngineDeadline::ForcedExit));
     }
 
     /// Callers have had their time to learn of the end: nobody is let in any more.
@@ -32,9 +32,9 @@
         if self.shutdown.phase() != Phase::Draining {
             return;
         }
-        tracing::info!(open = self.calls.open(), callers = self.callers.count, "leaving");
+        tracing::info!(open = self.calls.open_set_ups(), callers = self.callers.count, "leaving");
         self.shutdown.listener_closed();
-        self.calls.refuse_new();
+        self.calls.refuse_new_set_ups();
         self.outputs.push_back(Output::StopListening);
         self.close_unused();
     }
@@ -50,14 +50,14 @@
         for token in unused {
             self.finish(token, CloseReason::Leaving);
         }
-        self.calls.deadlines.add(self.now + LOOK, Due::Link(LinkDue::CloseUnused));
+        self.calls.deadlines.add(self.now + LOOK, Deadline::Engine(EngineDeadline::CloseUnused));
     }
 
     fn is_unused(&self, token: ConnId) -> bool {
         let Some(conn) = self.conns.get(&token) else { return false };
         let Peer::Caller(caller) = &conn.peer else { return false };
         let quiet = self.now >= conn.read + QUIET_BEFORE_CLOSE;
-        let whole = caller.inbox.rest().is_empty() && caller.outbox.pending().is_empty();
+        let whole = caller.read_buffer.unread().is_empty() && caller.write_buffer.pending().is_empty();
         quiet && whole && !conn.finishing && !self.calls.has_calls(token)
     }
 
@@ -65,14 +65,14 @@
     pub(super) fn has_left(&self) -> bool {
         let in_use = |conn: &super::Conn| matches!(conn.peer, Peer::Caller(_)) && !conn.finishing;
         self.shutdown.phase() == Phase::Leaving
-            && self.calls.open() == 0
+            && self.calls.open_set_ups() == 0
             && !self.conns.values().any(in_use)
             && self.conns.keys().all(|token| self.pending(*token).is_empty() || !self.is_caller(*token))
     }
 
     pub(super) fn stop(&mut self) {
         if self.shutdown.stopped() {
-            tracing::info!(open = self.calls.open(), callers = self.callers.count, "left");
+            tracing::info!(open = self.calls.open_set_ups(), callers = self.callers.count, "left");
             self.calls.close_intervals(self.now, true);
             self.outputs.push_back(Output::Stop);
         }
--- a/dillhold/src/engine/liveness.rs
+++ b/dillhold/src/engine/liveness.rs
@@ -6,9 +6,9 @@
 use super::close_reason::CloseReason;
 use super::failure_detector::{Verdict, CHECK_TIMEOUT, LOOK_AGAIN};
 use super::{ConnId, Engine, Peer};
-use crate::call::{Due, LinkDue};
+use crate::call::{Deadline, EngineDeadline};
 use crate::clock::MS;
-use crate::session::exchange::Exchange;
+use crate::session::exchange::ExchangeSession;
 
 /// Time from an exchange's first word on its group until the calls are compared with it. What it has to say of calls
 /// that ended while it was out of reach comes meanwhile.
@@ -30,7 +30,7 @@
 /// heard like anything else.
 pub struct Check {
     pub exchange: ExchangeId,
-    pub session: Exchange,
+    pub session: ExchangeSession,
     up_at: Nanos,
 }
 
@@ -47,7 +47,7 @@
 
     /// Looks at an exchange on which calls stand, or stood at the last look.
     pub(super) fn liveness_due(&mut self, id: ExchangeId) {
-        let standing = self.calls.standing_at(id);
+        let standing = self.calls.standing_calls_at(id);
         let Some(link) = self.links.get_mut(&id) else { return };
         if standing == 0 {
             link.detector.watching = false;
@@ -71,7 +71,7 @@
     }
 
     fn look_again(&mut self, id: ExchangeId, at: Nanos) {
-        self.calls.deadlines.add(at, Due::Link(LinkDue::Liveness(id)));
+        self.calls.deadlines.add(at, Deadline::Engine(EngineDeadline::LivenessCheck(id)));
     }
 
     /// Dials a connection that checks an exchange, unless one is being dialled or the link itself is.
@@ -83,7 +83,7 @@
         }
         // An exchange repeats on the next connection what it could not say: one that goes ends first.
         self.end_check(id);
-        let check = Check { exchange: id, session: Exchange::default(), up_at: 0 };
+        let check = Check { exchange: id, session: ExchangeSession::default(), up_at: 0 };
         let conn = self.dial_within(address, Peer::Check(check), CHECK_TIMEOUT);
         tracing::debug!(exchange = id, conn, "exchange is silent: checked");
         if let Some(link) = self.links.get_mut(&id) {
@@ -118,7 +118,7 @@
         if let Some(link) = self.links.get_mut(&id) {
             link.detector.heard_unasked(self.now, check.up_at);
         }
-        check.session.feed(self.now, id, &mut self.calls).is_ok()
+        check.session.process_input(self.now, id, &mut self.calls).is_ok()
     }
 
     /// Replaces the connection to an exchange that lives, if nothing came on it for long. Not while attempts are out,
@@ -127,7 +127,7 @@
         let Some(link) = self.links.get(&id) else { return };
         let Some(conn) = link.conn.filter(|conn| self.is_up(*conn)) else { return };
         let quiet = link.detector.greets() && self.now >= link.heard_at + REPLACE_AFTER;
-        if quiet && !self.calls.attempts_out_at(id) {
+        if quiet && !self.calls.has_pending_attempts(id) {
             self.close(conn, CloseReason::ExchangeQuiet);
         }
     }
@@ -148,7 +148,7 @@
         let Some(link) = self.links.get(&id) else { return };
         let (conn, silent) = (link.conn, link.detector.silent_for(self.now));
         tracing::warn!(exchange = id, silent_ms = silent / MS, "exchange vanished: its calls are over");
-        self.calls.counters.up("errors exchanges vanished");
+        self.calls.counters.increment("errors exchanges vanished");
         self.calls.exchange_vanished(self.now, id);
         self.end_check(id);
         if let Some(conn) = conn {
@@ -159,10 +159,10 @@
     /// The connection to an exchange is up again. The exchange may have been out of reach, and then its calls stand,
     /// or have started anew without them: the circuits that it says are in use tell which.
     pub(super) fn reachable_again(&mut self, id: ExchangeId) {
-        self.calls.forget_group(id);
-        if self.calls.standing_at(id) > 0 {
-            let due = LinkDue::Compare { exchange: id, since: self.now };
-            self.calls.deadlines.add(self.now + COMPARE_AFTER, Due::Link(due));
+        self.calls.clear_group_state(id);
+        if self.calls.standing_calls_at(id) > 0 {
+            let due = EngineDeadline::CompareCircuits { exchange: id, since: self.now };
+            self.calls.deadlines.add(self.now + COMPARE_AFTER, Deadline::Engine(due));
         }
     }
 
@@ -172,8 +172,8 @@
         if !self.links.contains_key(&id) {
             return;
         }
-        let due = Due::Link(LinkDue::Compare { exchange: id, since });
-        let Some(group) = self.calls.group(id) else {
+        let due = Deadline::Engine(EngineDeadline::CompareCircuits { exchange: id, since });
+        let Some(group) = self.calls.group_state(id) else {
             if self.now < since + TOLD_WITHIN {
                 self.calls.deadlines.add(self.now + COMPARE_AFTER, due);
             }
@@ -183,7 +183,7 @@
             return self.calls.deadlines.add(group.at + COMPARE_AFTER, due);
         }
         let counted_before = since.saturating_sub(REPORT_LAG);
-        let standing = f64::from(self.calls.circuits_of_standing(id, counted_before));
+        let standing = f64::from(self.calls.circuits_of_standing_calls(id, counted_before));
         let exact = self.now >= group.at + COMPARE_EXACTLY_AFTER;
         if !exact && group.in_use < standing {
             self.calls.deadlines.add(group.at + COMPARE_EXACTLY_AFTER, due);
@@ -191,7 +191,7 @@
         let explained = if exact { group.in_use } else { 2.0 * group.in_use };
         if explained < standing {
             tracing::warn!(exchange = id, standing, in_use = group.in_use, "exchange lost its calls");
-            self.calls.counters.up("errors exchanges without their calls");
+            self.calls.counters.increment("errors exchanges without their calls");
             self.calls.exchange_ended(self.now, id, since);
         }
     }
--- a/dillhold/src/engine/mod.rs
+++ b/dillhold/src/engine/mod.rs
@@ -33,13 +33,13 @@
 use measured::record::Interval;
 use pitchgw::interface::{ExchangeId, Nanos};
 
-use crate::call::{AttemptProgress, Calls, Command, Due, LinkDue, ToCaller};
+use crate::call::{AttemptProgress, CallerNotification, Calls, Command, Deadline, EngineDeadline};
 use crate::clock::MS;
 use crate::counters::Counters;
-use crate::directory::{Bounds, Config, Directory, Told};
-use crate::session::caller::Caller;
-use crate::session::journal::Journal;
-use crate::session::{Inbox, Outbox};
+use crate::directory::{Bounds, Config, ControllerSettings, Directory};
+use crate::session::caller::CallerSession;
+use crate::session::journal::JournalSession;
+use crate::session::{ReadBuffer, WriteBuffer};
 use callers::Callers;
 use close_reason::CloseReason;
 use exchanges::Link;
@@ -92,13 +92,13 @@
 /// Who is at the other end.
 enum Peer {
     /// Callers.
-    Caller(Caller),
+    Caller(CallerSession),
     /// An exchange; its session is with its link.
     Exchange(ExchangeId),
     /// An exchange, on a connection that only checks whether it lives.
     Check(Check),
     /// The journal service.
-    Journal(Journal),
+    Journal(JournalSession),
 }
 
 struct Conn {
@@ -139,13 +139,13 @@
 
 impl Engine {
     /// A controller at its start: asks to listen, dials the exchanges that are known and asks the journal.
-    pub fn new(now: Nanos, config: Config, told: Told) -> Result<Engine, String> {
+    pub fn new(now: Nanos, config: Config, told: ControllerSettings) -> Result<Engine, String> {
         let bounds = config.limits.bounds();
         let list = Directory::new(&config.settings);
         let mut calls =
             Calls::new(told, bounds, list).map_err(|e| format!("configuration: settings: {e}"))?;
-        let known = calls.directory.take(config.known);
-        calls.news(now, known.unwrap_or_else(|missing| missing.0));
+        let known = calls.directory.apply(config.known);
+        calls.apply_directory_update(now, known.unwrap_or_else(|missing| missing.0));
         let mut engine = Engine {
             now,
             calls,
@@ -177,21 +177,21 @@
 
     /// Turns that are closer together than this tell the module more often than it was promised.
     pub fn tick(&self) -> Nanos {
-        self.calls.told().module.tick
+        self.calls.settings().module.tick
     }
 
     /// When something is due next.
     pub fn next_due(&self) -> Option<Nanos> {
-        self.calls.deadlines.first()
+        self.calls.deadlines.earliest()
     }
 
     /// Carries out what is due. What has come in is told before: after a pause of this process an answer must
     /// not lose against a time-out that only looks overdue.
     pub fn sweep(&mut self) {
-        for due in self.calls.deadlines.sweep(self.now) {
+        for due in self.calls.deadlines.take_expired(self.now) {
             match due {
-                Due::Link(due) => self.link_due(due),
-                due => self.calls.due(self.now, due),
+                Deadline::Engine(due) => self.link_due(due),
+                due => self.calls.handle_deadline(self.now, due),
             }
         }
     }
@@ -209,7 +209,7 @@
     /// Whether nothing is left to be done in this turn. What the writing has failed is carried out and written
     /// in the same turn too: nothing else may wake it.
     pub fn settled(&self) -> bool {
-        self.calls.settled() && self.outputs.is_empty() && self.touched.is_empty()
+        self.calls.is_idle() && self.outputs.is_empty() && self.touched.is_empty()
     }
 
     /// A turn ends. After the signal to end the last one gives [`Output::Stop`].
@@ -220,12 +220,12 @@
     }
 
     /// Whether this configuration can take the place of the present one while calls are open and stand.
-    pub fn admits(&self, told: &Told) -> bool {
-        self.calls.admits(told)
+    pub fn admits(&self, told: &ControllerSettings) -> bool {
+        self.calls.can_reconfigure(told)
     }
 
     /// Goes on with another configuration, which [`Engine::admits`] has let through. Calls and connections stay.
-    pub fn reconfigure(&mut self, config: Config, told: Told) {
+    pub fn reconfigure(&mut self, config: Config, told: ControllerSettings) {
         let listening = matches!(self.shutdown.phase(), Phase::Serving | Phase::Draining);
         if config.listen != self.listen && listening {
             self.listen = config.listen;
@@ -233,16 +233,16 @@
         }
         self.bounds = config.limits.bounds();
         self.calls.reconfigure(told, self.bounds, &config.settings);
-        let known = self.calls.directory.take(config.known);
-        self.calls.news(self.now, known.unwrap_or_else(|missing| missing.0));
+        let known = self.calls.directory.apply(config.known);
+        self.calls.apply_directory_update(self.now, known.unwrap_or_else(|missing| missing.0));
         self.move_journal(config.journal);
         tracing::info!("configuration applied");
-        self.calls.counters.up("taken configurations");
+        self.calls.counters.increment("taken configurations");
     }
 
     /// Measures trunk groups from now on, as the operator has it.
     pub fn measure(&mut self, calendar: Calendar) {
-        self.calls.measure(self.now, calendar);
+        self.calls.start_measuring(self.now, calendar);
     }
 
     /// Closes the running interval before it is over, and measures no more.
@@ -262,7 +262,7 @@
 
     /// Counts an error of the sockets'.
     pub fn count(&mut self, name: &'static str) {
-        self.calls.counters.up(name);
+        self.calls.counters.increment(name);
     }
 
     // -----------------------------------------------------------------------------------------------------
@@ -280,18 +280,18 @@
 
     /// Starts a connection, if there is room for one more.
     fn dial(&mut self, to: SocketAddr, peer: Peer) -> Option<ConnId> {
-        self.dial_within(to, peer, self.calls.told().connect_timeout)
+        self.dial_within(to, peer, self.calls.settings().connect_timeout)
     }
 
     /// The same, with a time of its own to come up.
     fn dial_within(&mut self, to: SocketAddr, peer: Peer, timeout: Nanos) -> Option<ConnId> {
-        if self.conns.len() >= self.bounds.connections {
-            self.calls.counters.up("errors connections over the limit");
+        if self.conns.len() >= self.bounds.max_connections {
+            self.calls.counters.increment("errors connections over the limit");
             return None;
         }
         let conn = self.add(peer, true);
         self.outputs.push_back(Output::Dial { conn, to });
-        self.calls.deadlines.add(self.now + timeout, Due::Link(LinkDue::Connect(conn)));
+        self.calls.deadlines.add(self.now + timeout, Deadline::Engine(EngineDeadline::ConnectTimeout(conn)));
         Some(conn)
     }
 
@@ -304,14 +304,14 @@
     }
 
     /// The buffers of a connection.
-    fn buffers(&mut self, token: ConnId) -> Option<(&mut Inbox, &mut Outbox)> {
+    fn buffers(&mut self, token: ConnId) -> Option<(&mut ReadBuffer, &mut WriteBuffer)> {
         Some(match &mut self.conns.get_mut(&token)?.peer {
-            Peer::Caller(caller) => (&mut caller.inbox, &mut caller.outbox),
-            Peer::Journal(journal) => (&mut journal.inbox, &mut journal.outbox),
-            Peer::Check(check) => (&mut check.session.inbox, &mut check.session.outbox),
+            Peer::Caller(caller) => (&mut caller.read_buffer, &mut caller.write_buffer),
+            Peer::Journal(journal) => (&mut journal.read_buffer, &mut journal.write_buffer),
+            Peer::Check(check) => (&mut check.session.read_buffer, &mut check.session.write_buffer),
             Peer::Exchange(id) => {
                 let session = &mut self.links.get_mut(id)?.session;
-                (&mut session.inbox, &mut session.outbox)
+                (&mut session.read_buffer, &mut session.write_buffer)
             }
         })
     }
@@ -337,7 +337,7 @@
     fn close(&mut self, token: ConnId, reason: CloseReason) {
         tracing::info!(conn = token, ?reason, "connection closed");
         if let Some(name) = reason.counter() {
-            self.calls.counters.up(name);
+            self.calls.counters.increment(name);
         }
         self.lost(token);
     }
@@ -364,14 +364,14 @@
     /// Where the next bytes that come on a connection go; `None`: it is not read from any more.
     pub fn room(&mut self, token: ConnId) -> Option<&mut [u8]> {
         self.conns.get(&token).filter(|c| !c.ended && !c.unreadable && !c.connecting)?;
-        Some(self.buffers(token)?.0.room())
+        Some(self.buffers(token)?.0.unfilled())
     }
 
     /// So many bytes came and were put there.
     pub fn filled(&mut self, token: ConnId, count: usize) {
         let now = self.now;
-        let Some((inbox, _)) = self.buffers(token) else { return };
-        inbox.filled(count);
+        let Some((read_buffer, _)) = self.buffers(token) else { return };
+        read_buffer.advance(count);
         if let Some(conn) = self.conns.get_mut(&token) {
             conn.read = now;
             if conn.finishing {
@@ -388,7 +388,7 @@
             Some(conn) if matches!(conn.peer, Peer::Caller(_)) => {
                 conn.unreadable = true;
                 tracing::info!(conn = token, "caller cannot be read: closed once it is answered");
-                self.calls.counters.up("errors unreadable");
+                self.calls.counters.increment("errors unreadable");
             }
             _ => self.close(token, CloseReason::Unreadable),
         }
@@ -398,13 +398,13 @@
     fn take_in(&mut self, token: ConnId) -> bool {
         let Some(conn) = self.conns.get_mut(&token) else { return true };
         match &mut conn.peer {
-            Peer::Caller(caller) => caller.feed(self.now, token, &mut self.calls).is_ok(),
+            Peer::Caller(caller) => caller.process_input(self.now, token, &mut self.calls).is_ok(),
             Peer::Exchange(id) => {
                 let id = *id;
                 self.exchange_said(id, token)
             }
             Peer::Check(_) => self.check_said(token),
-            Peer::Journal(journal) => match journal.feed() {
+            Peer::Journal(journal) => match journal.process_input() {
                 Ok(None) => true,
                 Ok(Some((answer, kept))) => {
                     self.journal_answered(answer, kept);
@@ -434,17 +434,19 @@
         tracing::info!(conn = token, ?reason, "connection finished");
         conn.finishing = true;
         if let Peer::Caller(caller) = &mut conn.peer {
-            caller.heard_all();
+            caller.acknowledge_releases();
         }
         self.outputs.push_back(Output::Finish(token));
-        self.calls.deadlines.add(self.now + FINISH_WITHIN, Due::Link(LinkDue::Finished(token)));
+        self.calls
+            .deadlines
+            .add(self.now + FINISH_WITHIN, Deadline::Engine(EngineDeadline::FinishTimeout(token)));
     }
 
     /// Drops what came on a connection that is finishing.
     fn drop_input(&mut self, token: ConnId) {
-        if let Some((inbox, _)) = self.buffers(token) {
-            let count = inbox.rest().len();
-            inbox.take(count);
+        if let Some((read_buffer, _)) = self.buffers(token) {
+            let count = read_buffer.unread().len();
+            read_buffer.consume(count);
         }
     }
 
@@ -453,20 +455,24 @@
         match conn.peer {
             Peer::Caller(caller) => {
                 self.callers.count -= 1;
-                self.calls.caller_lost(self.now, token);
-                let unfinished = caller.lost(self.now);
+                self.calls.caller_disconnected(self.now, token);
+                let unfinished = caller.into_undelivered(self.now);
                 for id in unfinished.answers {
                     self.calls.answer_lost(self.now, id);
                 }
                 // A release that crossed the close is said again on another connection.
-                for (id, cause) in unfinished.releases {
-                    let say = ToCaller::Released(cause);
-                    self.calls.commands.push_back(Command::Caller { link: None, id, say });
+                for (call_id, cause) in unfinished.releases {
+                    let notification = CallerNotification::Released(cause);
+                    self.calls.commands.push_back(Command::NotifyCaller {
+                        conn: None,
+                        call_id,
+                        notification,
+                    });
                 }
             }
             Peer::Journal(_) => {
                 tracing::warn!(conn = token, connect_failed, "journal connection lost");
-                self.calls.counters.up("errors journal connections lost");
+                self.calls.counters.increment("errors journal connections lost");
                 self.journal_lost(connect_failed);
             }
             Peer::Exchange(id) => {
@@ -477,7 +483,7 @@
                     refused,
                     "exchange connection lost"
                 );
-                self.calls.counters.up(match connect_failed {
+                self.calls.counters.increment(match connect_failed {
                     true => "errors exchange connections unmade",
                     false => "errors exchange connections lost",
                 });
@@ -503,39 +509,42 @@
     /// What has to be written next on a connection.
     pub fn pending(&self, token: ConnId) -> &[u8] {
         match self.conns.get(&token).map(|c| &c.peer) {
-            Some(Peer::Caller(caller)) => caller.outbox.pending(),
-            Some(Peer::Journal(journal)) => journal.outbox.pending(),
-            Some(Peer::Check(check)) => check.session.outbox.pending(),
-            Some(Peer::Exchange(id)) => self.links.get(id).map_or(&[], |l| l.session.outbox.pending()),
+            Some(Peer::Caller(caller)) => caller.write_buffer.pending(),
+            Some(Peer::Journal(journal)) => journal.write_buffer.pending(),
+            Some(Peer::Check(check)) => check.session.write_buffer.pending(),
+            Some(Peer::Exchange(id)) => self.links.get(id).map_or(&[], |l| l.session.write_buffer.pending()),
             None => &[],
         }
     }
 
     /// So many bytes of it were written.
     pub fn wrote(&mut self, token: ConnId, count: usize) {
-        if let Some((_, outbox)) = self.buffers(token) {
-            outbox.wrote(count);
+        if let Some((_, write_buffer)) = self.buffers(token) {
+            write_buffer.mark_written(count);
         }
     }
 
     /// All that could be written on a connection was. Tells what it is to be watched for, unless it was closed
     /// or is not up yet.
     pub fn flushed(&mut self, token: ConnId) -> Option<Interest> {
-        let (inbox, outbox) = self.buffers(token)?;
-        let (left, held) = (outbox.pending().len(), inbox.held() + outbox.held());
+        let (read_buffer, write_buffer) = self.buffers(token)?;
+        let (left, held) =
+            (write_buffer.pending().len(), read_buffer.capacity_bytes() + write_buffer.capacity_bytes());
         let bounds = self.bounds;
         let conn = self.conns.get_mut(&token).filter(|c| !c.connecting)?;
         self.held = self.held - conn.held + held;
         conn.held = held;
         let (caller, ended, unreadable) = (matches!(conn.peer, Peer::Caller(_)), conn.ended, conn.unreadable);
         // When memory is short, a caller that holds more than its share of it makes room.
-        let over = caller && self.held > bounds.buffered && held > bounds.buffered / bounds.connections;
+        let over = caller
+            && self.held > bounds.max_buffered_bytes
+            && held > bounds.max_buffered_bytes / bounds.max_connections;
         if over || left > SLOW[1] {
             let reason = if over { CloseReason::OutOfMemory } else { CloseReason::SlowReader };
             self.close(token, reason);
             return None;
         }
-        if unreadable || ended && left == 0 && !self.calls.open_on(token) {
+        if unreadable || ended && left == 0 && !self.calls.has_open_set_ups(token) {
             self.close(token, CloseReason::Finished);
             return None;
         }
@@ -546,50 +555,53 @@
     // Deadlines, commands
     // -----------------------------------------------------------------------------------------------------
 
-    fn link_due(&mut self, due: LinkDue) {
+    fn link_due(&mut self, due: EngineDeadline) {
         match due {
-            LinkDue::Connect(token) => {
+            EngineDeadline::ConnectTimeout(token) => {
                 if self.conns.get(&token).is_some_and(|c| c.connecting) {
                     self.connect_failed(token, false);
                 }
             }
-            LinkDue::Half(id, token) => self.half_due(id, token),
-            LinkDue::Silent(id, token) => self.silent_due(id, token),
-            LinkDue::Redial(id) => self.redial_due(id),
-            LinkDue::Liveness(id) => self.liveness_due(id),
-            LinkDue::Compare { exchange, since } => self.compare_due(exchange, since),
-            LinkDue::Ask => self.ask_journal(),
-            LinkDue::Journal(token) => self.journal_due(token),
-            LinkDue::Caller(token) => self.caller_due(token),
-            LinkDue::Releases => self.deliver(None),
-            LinkDue::StopListening => self.stop_listening(),
-            LinkDue::CloseUnused => self.close_unused(),
-            LinkDue::Finished(token) => self.lost(token),
-            LinkDue::Leave => self.stop(),
+            EngineDeadline::IncompleteMessage(id, token) => self.half_due(id, token),
+            EngineDeadline::SilenceTimeout(id, token) => self.silent_due(id, token),
+            EngineDeadline::Reconnect(id) => self.redial_due(id),
+            EngineDeadline::LivenessCheck(id) => self.liveness_due(id),
+            EngineDeadline::CompareCircuits { exchange, since } => self.compare_due(exchange, since),
+            EngineDeadline::PollJournal => self.ask_journal(),
+            EngineDeadline::JournalTimeout(token) => self.journal_due(token),
+            EngineDeadline::CallerCheck(token) => self.caller_due(token),
+            EngineDeadline::DeliverReleases => self.deliver(None),
+            EngineDeadline::StopListening => self.stop_listening(),
+            EngineDeadline::CloseUnused => self.close_unused(),
+            EngineDeadline::FinishTimeout(token) => self.lost(token),
+            EngineDeadline::ForcedExit => self.stop(),
         }
     }
 
     /// Carries out what the call table commands, until nothing more follows from it.
     pub fn carry_out(&mut self) {
-        self.calls.settle(self.now);
+        self.calls.dispatch_queued_events(self.now);
         while let Some(command) = self.calls.commands.pop_front() {
             match command {
-                Command::Caller { link, id, say } => self.say_caller(link, id, &say),
-                Command::Exchange { to, id, say } => self.say_exchange(to, id, &say),
-                Command::Withhold(id) => {
-                    let back = self.links.get_mut(&id).map(|l| l.session.withhold()).unwrap_or_default();
+                Command::NotifyCaller { conn, call_id, notification } => {
+                    self.say_caller(conn, call_id, &notification)
+                }
+                Command::RequestExchange { to, call_id, request } => self.say_exchange(to, call_id, &request),
+                Command::WithdrawSetUps(id) => {
+                    let back =
+                        self.links.get_mut(&id).map(|l| l.session.withdraw_set_ups()).unwrap_or_default();
                     for (call, attempt) in back {
                         self.calls.attempt_lost(self.now, call, attempt, AttemptProgress::NeverSent);
                     }
                 }
-                Command::Listed => self.listed(),
-                Command::Watch(id) => self.watch(id),
-                Command::Ended(id) => {
+                Command::UpdateLinks => self.listed(),
+                Command::StartLivenessChecks(id) => self.watch(id),
+                Command::RemoveExchange(id) => {
                     self.drop_link(id);
-                    self.calls.forget_exchange(id);
+                    self.calls.remove_exchange(id);
                 }
             }
-            self.calls.settle(self.now);
+            self.calls.dispatch_queued_events(self.now);
         }
     }
 }
--- a/dillhold/src/net/mod.rs
+++ b/dillhold/src/net/mod.rs
@@ -17,7 +17,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 
 use crate::clock::{Clock, MS};
-use crate::directory::{self, Config, Told};
+use crate::directory::{self, Config, ControllerSettings};
 use crate::engine::{ConnId, Engine, Output, FIRST_CONN};
 use crate::operator::Operator;
 use archive::Archive;
@@ -74,7 +74,7 @@
 }
 
 /// Reads a configuration with its settings. The error is one plain line.
-pub fn read_config(path: &str) -> Result<(Config, Told), String> {
+pub fn read_config(path: &str) -> Result<(Config, ControllerSettings), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("configuration: {path}: {e}"))?;
     let config = directory::read_config(&text)?;
     let told = directory::read_settings(&config)?;
--- a/dillhold/src/session/caller.rs
+++ b/dillhold/src/session/caller.rs
@@ -4,11 +4,11 @@
 
 use pitchgw::interface::Nanos;
 
-use crate::call::{CallerLink, Calls, FromCaller, SetUp, ToCaller};
+use crate::call::{CallerConnId, CallerNotification, Calls, FromCaller, SetUp};
 use crate::clock::MS;
 use crate::codec::binary::{self, kind, param, Message};
-use crate::codec::{figures, Unreadable, MESSAGE_CAP};
-use crate::session::{drain, Inbox, Outbox};
+use crate::codec::{attributes, Unreadable, MAX_MESSAGE_BYTES};
+use crate::session::{drain, ReadBuffer, WriteBuffer};
 
 /// Refused for want of room on the way (Q.850 42, switching equipment congestion): trying again is harmless.
 const REFUSED: u8 = 42;
@@ -29,28 +29,33 @@
 
 /// The state of one connection.
 #[derive(Debug, Default)]
-pub struct Caller {
+pub struct CallerSession {
     /// It was told that a call stands: there is a caller at its other end, and not just anybody.
-    pub proven: bool,
+    pub confirmed: bool,
     /// It was told anything of a call.
-    pub answered: bool,
+    pub notified: bool,
     /// When a whole message last came.
-    pub heard: Nanos,
+    pub last_message_at: Nanos,
     faults: u32,
     /// Releases said here and not heard yet, in order.
     unheard: VecDeque<(Nanos, u64, u8)>,
     /// What came.
-    pub inbox: Inbox,
+    pub read_buffer: ReadBuffer,
     /// What is to be written.
-    pub outbox: Outbox,
+    pub write_buffer: WriteBuffer,
 }
 
-impl Caller {
-    /// Takes in what is in the inbox. An error means that the connection has to be closed.
-    pub fn feed(&mut self, now: Nanos, link: CallerLink, calls: &mut Calls) -> Result<(), Unreadable> {
-        let (out, unheard) = (&mut self.outbox, &mut self.unheard);
-        let (heard, faults) = (&mut self.heard, &mut self.faults);
-        drain(&mut self.inbox, |rest| {
+impl CallerSession {
+    /// Takes in what is in the read_buffer. An error means that the connection has to be closed.
+    pub fn process_input(
+        &mut self,
+        now: Nanos,
+        link: CallerConnId,
+        calls: &mut Calls,
+    ) -> Result<(), Unreadable> {
+        let (out, unheard) = (&mut self.write_buffer, &mut self.unheard);
+        let (heard, faults) = (&mut self.last_message_at, &mut self.faults);
+        drain(&mut self.read_buffer, |rest| {
             let Some((message, taken)) = binary::parse(rest)? else { return Ok(None) };
             *heard = now;
             match message.kind {
@@ -60,17 +65,22 @@
                     *faults += u32::from(!served);
                 }
                 kind::RELEASE => {
-                    let (id, cause) = (message.call, message.cause().unwrap_or(16));
+                    let (id, cause) = (message.call_id, message.cause().unwrap_or(16));
                     let known = calls.from_caller(now, link, FromCaller::Release { id, cause });
                     *faults += u32::from(!known);
                 }
                 kind::TEST => {
-                    calls.counters.up("answered tests");
-                    binary::write(out.buffer(), kind::TESTED, message.call, &[(param::CAUSE, &[1])]);
+                    calls.counters.increment("answered tests");
+                    binary::write(
+                        out.buffer(),
+                        kind::TEST_RESPONSE,
+                        message.call_id,
+                        &[(param::CAUSE, &[1])],
+                    );
                 }
-                kind::RELEASE_HEARD => unheard.retain(|(_, id, _)| *id != message.call),
+                kind::RELEASE_ACK => unheard.retain(|(_, id, _)| *id != message.call_id),
                 _ => {
-                    calls.counters.up("taken messages skipped");
+                    calls.counters.increment("taken messages skipped");
                     *faults += 1;
                 }
             }
@@ -83,33 +93,36 @@
     }
 
     /// Whether nothing that could not be served has come, and no half message waits.
-    pub fn is_sound(&self) -> bool {
-        self.faults == 0 && self.inbox.rest().is_empty()
+    pub fn is_well_behaved(&self) -> bool {
+        self.faults == 0 && self.read_buffer.unread().is_empty()
     }
 
     /// All that was written arrives: the connection is closed in order.
-    pub fn heard_all(&mut self) {
+    pub fn acknowledge_releases(&mut self) {
         self.unheard.clear();
     }
 
     /// Writes what a caller is told.
-    pub fn say(&mut self, now: Nanos, id: u64, say: &ToCaller) {
-        self.answered = true;
-        let out = self.outbox.buffer();
+    pub fn send(&mut self, now: Nanos, id: u64, say: &CallerNotification) {
+        self.notified = true;
+        let out = self.write_buffer.buffer();
         match say {
-            ToCaller::Answer(description) => {
-                self.proven = true;
+            CallerNotification::Answer(description) => {
+                self.confirmed = true;
                 let parameters = [(param::DESCRIPTION, &description[..])];
-                self.outbox.mark((id, 0), |out| binary::write(out, kind::ANSWER, id, &parameters));
+                self.write_buffer
+                    .append_tracked((id, 0), |out| binary::write(out, kind::ANSWER, id, &parameters));
             }
-            ToCaller::Refused(0) => binary::write(out, kind::RELEASE, id, &[(param::CAUSE, &[REFUSED])]),
-            ToCaller::Refused(pause) => {
+            CallerNotification::Refused(0) => {
+                binary::write(out, kind::RELEASE, id, &[(param::CAUSE, &[REFUSED])])
+            }
+            CallerNotification::Refused(pause) => {
                 let pause = pause.div_ceil(MS).to_string();
-                let parameters = [(param::CAUSE, &[REFUSED][..]), (param::PAUSE, pause.as_bytes())];
+                let parameters = [(param::CAUSE, &[REFUSED][..]), (param::RETRY_AFTER_MS, pause.as_bytes())];
                 binary::write(out, kind::RELEASE, id, &parameters);
             }
-            ToCaller::Failed => binary::write(out, kind::RELEASE, id, &[(param::CAUSE, &[FAILED])]),
-            ToCaller::Released(cause) => {
+            CallerNotification::Failed => binary::write(out, kind::RELEASE, id, &[(param::CAUSE, &[FAILED])]),
+            CallerNotification::Released(cause) => {
                 self.unheard.push_back((now, id, *cause));
                 while self.unheard.len() > UNHEARD_KEPT {
                     self.unheard.pop_front();
@@ -122,7 +135,7 @@
 
 /// What a lost connection leaves behind.
 #[derive(Debug)]
-pub struct Unfinished {
+pub struct Undelivered {
     /// Calls whose answer has not left whole.
     pub answers: Vec<u64>,
     /// Releases that may not have arrived. A caller need not tell that it heard one, so those of long ago are
@@ -130,13 +143,13 @@
     pub releases: Vec<(u64, u8)>,
 }
 
-impl Caller {
+impl CallerSession {
     /// The connection is gone.
-    pub fn lost(mut self, now: Nanos) -> Unfinished {
+    pub fn into_undelivered(mut self, now: Nanos) -> Undelivered {
         let lately = self.unheard.iter().filter(|(at, ..)| now < at + UNHEARD_FOR);
-        Unfinished {
+        Undelivered {
             releases: lately.map(|(_, id, cause)| (*id, *cause)).collect(),
-            answers: self.outbox.clear().into_iter().map(|(id, _)| id).collect(),
+            answers: self.write_buffer.clear().into_iter().map(|(id, _)| id).collect(),
         }
     }
 }
@@ -148,10 +161,10 @@
 
 fn set_up<'a>(message: &Message<'a>) -> FromCaller<'a> {
     let mut s = SetUp {
-        id: message.call,
+        id: message.call_id,
         class: message.parameter(param::CLASS).unwrap_or_default(),
         wait: 0,
-        number: message.parameter(param::NUMBER).unwrap_or_default(),
+        number: message.parameter(param::CALLED_NUMBER).unwrap_or_default(),
         destination: u32::MAX,
         width: None,
         advised: None,
@@ -166,7 +179,7 @@
         sound &= found.is_some();
         found.and_then(|n| u32::try_from(n).ok())
     };
-    for (name, value) in figures(message.parameter(param::FIGURES).unwrap_or_default()) {
+    for (name, value) in attributes(message.parameter(param::ATTRIBUTES).unwrap_or_default()) {
         match name {
             b"dest" => s.destination = read(value, 0, i64::from(u32::MAX) - 1).unwrap_or(u32::MAX),
             b"width" => s.width = read(value, 1, i64::from(MOST_WIDTH)),
@@ -176,13 +189,13 @@
             _ => {}
         }
     }
-    let wait: Option<u32> = message.parameter(param::WAIT).and_then(number).filter(|ms| *ms > 0);
+    let wait: Option<u32> = message.parameter(param::TIMEOUT_MS).and_then(number).filter(|ms| *ms > 0);
     s.wait = Nanos::from(wait.unwrap_or(0)) * MS;
     // What goes into a line of text must not break it, and what goes to an exchange must fit in a message: an
     // exchange closes the connection on what it cannot read, with the calls of others open on it.
     let clean = |b: &u8| b.is_ascii_alphanumeric() || b"-_.+*#!~$&=,;/".contains(b);
     let dialled = (1..=MOST_NUMBER).contains(&s.number.len()) && s.number.iter().all(clean);
-    let fits = SIP_HEAD + s.number.len() + s.class.len() + s.description.len() <= MESSAGE_CAP;
+    let fits = SIP_HEAD + s.number.len() + s.class.len() + s.description.len() <= MAX_MESSAGE_BYTES;
     let described = message.parameter(param::DESCRIPTION).is_some();
     let named = s.id != 0 && s.destination != u32::MAX;
     if sound && named && dialled && described && fits && wait.is_some() {
--- a/dillhold/src/session/exchange.rs
+++ b/dillhold/src/session/exchange.rs
@@ -5,11 +5,11 @@
 
 use pitchgw::interface::{Cause, ExchangeId, Nanos, Outcome, Report};
 
-use crate::call::{Calls, FromExchange, ToExchange};
+use crate::call::{Calls, ExchangeRequest, FromExchange};
 use crate::clock::MS;
-use crate::codec::sip::{self, Message, Start};
-use crate::codec::{call_id, figures, Unreadable};
-use crate::session::{drain, Inbox, Outbox};
+use crate::codec::sip::{self, Message, StartLine};
+use crate::codec::{attributes, parse_call_id, Unreadable};
+use crate::session::{drain, ReadBuffer, WriteBuffer};
 
 /// Bytes that wait for an exchange at the most; past that its set-ups are not sent.
 const WAITING: usize = 128 * 1024;
@@ -19,31 +19,36 @@
 
 /// The state of one link.
 #[derive(Debug, Default)]
-pub struct Exchange {
+pub struct ExchangeSession {
     /// What came.
-    pub inbox: Inbox,
+    pub read_buffer: ReadBuffer,
     /// What is to be written on the present connection, or on the next one.
-    pub outbox: Outbox,
+    pub write_buffer: WriteBuffer,
     /// Since when the message that has begun to come has not become whole.
-    pub half: Option<Nanos>,
+    pub incomplete_since: Option<Nanos>,
     /// Something was asked of the exchange on the present connection, or will be on the next one.
-    pub asked: bool,
+    pub has_requests: bool,
     /// Releases said and not heard yet: by call the cause.
     unheard: BTreeMap<u64, u8>,
 }
 
-impl Exchange {
-    /// Takes in what is in the inbox. An error means that the connection has to be closed.
-    pub fn feed(&mut self, now: Nanos, from: ExchangeId, calls: &mut Calls) -> Result<(), Unreadable> {
-        let (out, unheard) = (&mut self.outbox, &mut self.unheard);
-        let (before, mut whole) = (self.half, false);
-        drain(&mut self.inbox, |rest| {
+impl ExchangeSession {
+    /// Takes in what is in the read_buffer. An error means that the connection has to be closed.
+    pub fn process_input(
+        &mut self,
+        now: Nanos,
+        from: ExchangeId,
+        calls: &mut Calls,
+    ) -> Result<(), Unreadable> {
+        let (out, unheard) = (&mut self.write_buffer, &mut self.unheard);
+        let (before, mut whole) = (self.incomplete_since, false);
+        drain(&mut self.read_buffer, |rest| {
             let Some((message, taken)) = sip::parse(rest)? else { return Ok(None) };
-            match message.start {
-                Start::Request(method) => request(now, from, method, &message, out.buffer(), calls),
-                Start::Response(code) => {
-                    let sequence = message.sequence();
-                    match (message.call(), sequence) {
+            match message.start_line {
+                StartLine::Request(method) => request(now, from, method, &message, out.buffer(), calls),
+                StartLine::Response(code) => {
+                    let sequence = message.cseq();
+                    match (message.call_id(), sequence) {
                         (Some(id), Some((number, b"INVITE"))) => {
                             invited(now, from, code, (id, number), &message, out.buffer(), calls);
                         }
@@ -60,38 +65,38 @@
             Ok(Some(taken))
         })?;
         let since = before.filter(|_| !whole).unwrap_or(now);
-        self.half = Some(since).filter(|_| !self.inbox.rest().is_empty());
+        self.incomplete_since = Some(since).filter(|_| !self.read_buffer.unread().is_empty());
         Ok(())
     }
 
     /// Writes what the exchange is told. False: a set-up that does not go out.
-    pub fn say(&mut self, id: u64, say: &ToExchange) -> bool {
-        self.asked = true;
+    pub fn send(&mut self, id: u64, say: &ExchangeRequest) -> bool {
+        self.has_requests = true;
         match say {
-            ToExchange::SetUp { attempt, wait, class, number, description } => {
-                if self.outbox.pending().len() > WAITING {
+            ExchangeRequest::SetUp { attempt, wait, class, number, description } => {
+                if self.write_buffer.pending().len() > WAITING {
                     return false;
                 }
                 // A release of an earlier attempt, said again, would end this one.
                 self.unheard.remove(&id);
                 let (class, number) = (String::from_utf8_lossy(class), String::from_utf8_lossy(number));
                 let (uri, wait) = (format!("sip:{number}@net"), wait / MS);
-                self.outbox.mark((id, *attempt), |out| {
+                self.write_buffer.append_tracked((id, *attempt), |out| {
                     let further = format_args!("X-Service: {class}\r\nX-Setup-Ms: {wait}\r\n");
                     request_line(out, "INVITE", &uri, id, attempt + 1, further, description);
                 });
             }
-            ToExchange::GiveUp { attempt } => {
+            ExchangeRequest::GiveUp { attempt } => {
                 // A set-up that has not begun to leave is taken back: sent late it would cross the next one.
-                if self.outbox.take_back(|m| m == (id, *attempt)).is_empty() {
-                    let out = self.outbox.buffer();
+                if self.write_buffer.withdraw(|m| m == (id, *attempt)).is_empty() {
+                    let out = self.write_buffer.buffer();
                     request_line(out, "CANCEL", "sip:call@net", id, attempt + 1, format_args!(""), b"");
                 }
             }
             // Anybody can name calls that do not exist: what is said of them must not crowd out the rest.
-            ToExchange::ReleaseUnknown(_) if self.outbox.pending().len() > WAITING / 2 => {}
-            ToExchange::ReleaseUnknown(cause) => self.write_release(id, *cause),
-            ToExchange::Release(cause) => {
+            ExchangeRequest::ReleaseUnknown(_) if self.write_buffer.pending().len() > WAITING / 2 => {}
+            ExchangeRequest::ReleaseUnknown(cause) => self.write_release(id, *cause),
+            ExchangeRequest::Release(cause) => {
                 self.write_release(id, *cause);
                 if self.unheard.len() >= UNHEARD_KEPT {
                     self.unheard.pop_first();
@@ -104,14 +109,14 @@
 
     fn write_release(&mut self, id: u64, cause: u8) {
         let further = format_args!("Reason: Q.850;cause={cause}\r\n");
-        request_line(self.outbox.buffer(), "BYE", "sip:call@net", id, 1000, further, b"");
+        request_line(self.write_buffer.buffer(), "BYE", "sip:call@net", id, 1000, further, b"");
     }
 
     /// The connection is gone, or never came up. Tells the attempts whose set-up had not left whole.
-    pub fn lost(&mut self) -> Vec<(u64, u32)> {
-        (self.inbox, self.half) = (Inbox::default(), None);
-        let unsent = self.outbox.clear();
-        self.asked = !self.unheard.is_empty();
+    pub fn connection_lost(&mut self) -> Vec<(u64, u32)> {
+        (self.read_buffer, self.incomplete_since) = (ReadBuffer::default(), None);
+        let unsent = self.write_buffer.clear();
+        self.has_requests = !self.unheard.is_empty();
         for (id, cause) in std::mem::take(&mut self.unheard) {
             self.write_release(id, cause);
             self.unheard.insert(id, cause);
@@ -120,13 +125,13 @@
     }
 
     /// Takes back the set-ups that have not begun to leave.
-    pub fn withhold(&mut self) -> Vec<(u64, u32)> {
-        self.outbox.take_back(|_| true)
+    pub fn withdraw_set_ups(&mut self) -> Vec<(u64, u32)> {
+        self.write_buffer.withdraw(|_| true)
     }
 
     /// Whether set-ups wait to be written.
-    pub fn holds_set_ups(&self) -> bool {
-        self.outbox.marked()
+    pub fn has_unsent_set_ups(&self) -> bool {
+        self.write_buffer.has_unsent()
     }
 }
 
@@ -155,25 +160,25 @@
     match method {
         b"BYE" => {
             respond(message, "BYE", out);
-            if let Some(id) = call_id(message.raw_call_id()) {
+            if let Some(id) = parse_call_id(message.raw_call_id()) {
                 let cause = message.cause().unwrap_or(16);
                 calls.from_exchange(now, from, FromExchange::Released { id, cause });
             }
         }
         b"OPTIONS" => {
-            calls.counters.up("answered tests");
+            calls.counters.increment("answered tests");
             respond(message, "OPTIONS", out);
         }
         b"NOTIFY" => {
             let report = report(message, calls);
             calls.from_exchange(now, from, FromExchange::Group(report));
         }
-        _ => calls.counters.up("taken messages skipped"),
+        _ => calls.counters.increment("taken messages skipped"),
     }
 }
 
 fn respond(message: &Message<'_>, method: &str, out: &mut Vec<u8>) {
-    let number = message.sequence().map_or(1, |(number, _)| number);
+    let number = message.cseq().map_or(1, |(number, _)| number);
     let line = format_args!("SIP/2.0 200 OK");
     sip::write(out, line, message.raw_call_id(), (number, method), format_args!(""), b"");
 }
@@ -227,9 +232,9 @@
 /// The state of the group, where it is told: `X-Group: spare:81;total:81`, with the names of the settings.
 fn report(message: &Message<'_>, calls: &Calls) -> Report {
     let text = message.header("X-Group").unwrap_or_default();
-    let [free, size] = &calls.told().report;
+    let [free, size] = &calls.settings().report;
     let get = |name: &str| {
-        let (_, value) = figures(text).find(|(n, _)| *n == name.as_bytes())?;
+        let (_, value) = attributes(text).find(|(n, _)| *n == name.as_bytes())?;
         let value: f64 = std::str::from_utf8(value).ok()?.parse().ok()?;
         Some(value).filter(|f| f.is_finite() && *f >= 0.0)
     };
--- a/dillhold/src/session/mod.rs
+++ b/dillhold/src/session/mod.rs
@@ -10,7 +10,7 @@
 
 /// The read buffer of a connection. Messages are slices of it.
 #[derive(Debug, Default)]
-pub struct Inbox {
+pub struct ReadBuffer {
     bytes: Vec<u8>,
     taken: usize,
     filled: usize,
@@ -19,9 +19,9 @@
 /// Bytes that can be read at once.
 const ROOM: usize = 4 * 1024;
 
-impl Inbox {
+impl ReadBuffer {
     /// Where the next bytes go.
-    pub fn room(&mut self) -> &mut [u8] {
+    pub fn unfilled(&mut self) -> &mut [u8] {
         self.bytes.copy_within(self.taken..self.filled, 0);
         self.filled -= self.taken;
         self.taken = 0;
@@ -34,30 +34,30 @@
     }
 
     /// So many bytes went there.
-    pub fn filled(&mut self, count: usize) {
+    pub fn advance(&mut self, count: usize) {
         self.filled += count;
     }
 
     /// Adds bytes.
-    pub fn put(&mut self, bytes: &[u8]) {
+    pub fn append(&mut self, bytes: &[u8]) {
         for part in bytes.chunks(ROOM) {
-            self.room()[..part.len()].copy_from_slice(part);
-            self.filled(part.len());
+            self.unfilled()[..part.len()].copy_from_slice(part);
+            self.advance(part.len());
         }
     }
 
     /// What has not been taken.
-    pub fn rest(&self) -> &[u8] {
+    pub fn unread(&self) -> &[u8] {
         &self.bytes[self.taken..self.filled]
     }
 
     /// Bytes of memory that it takes.
-    pub fn held(&self) -> usize {
+    pub fn capacity_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 
     /// Takes bytes from the front.
-    pub fn take(&mut self, count: usize) {
+    pub fn consume(&mut self, count: usize) {
         self.taken = (self.taken + count).min(self.filled);
     }
 }
@@ -65,7 +65,7 @@
 /// Bytes to be written. Some stretches are marked, so that they can be taken back before they have begun to
 /// leave.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct WriteBuffer {
     bytes: Vec<u8>,
     written: usize,
     marks: VecDeque<Mark>,
@@ -80,26 +80,26 @@
     what: (u64, u32),
 }
 
-impl Outbox {
+impl WriteBuffer {
     /// The buffer to append to.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
     /// Appends a stretch that is marked.
-    pub fn mark(&mut self, what: (u64, u32), write: impl FnOnce(&mut Vec<u8>)) {
+    pub fn append_tracked(&mut self, what: (u64, u32), write: impl FnOnce(&mut Vec<u8>)) {
         let start = self.bytes.len();
         write(&mut self.bytes);
         self.marks.push_back(Mark { begun: false, start, end: self.bytes.len(), what });
     }
 
     /// Bytes of memory that it takes.
-    pub fn held(&self) -> usize {
+    pub fn capacity_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 
     /// Whether a marked stretch has not left whole.
-    pub fn marked(&self) -> bool {
+    pub fn has_unsent(&self) -> bool {
         !self.marks.is_empty()
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// So many bytes were written.
-    pub fn wrote(&mut self, count: usize) {
+    pub fn mark_written(&mut self, count: usize) {
         self.written += count;
         while self.marks.front().is_some_and(|m| m.end <= self.written) {
             self.marks.pop_front();
@@ -118,7 +118,7 @@
             first.begun |= first.start < self.written;
         }
         if self.written == self.bytes.len() {
-            *self = Outbox { bytes: std::mem::take(&mut self.bytes), ..Outbox::default() };
+            *self = WriteBuffer { bytes: std::mem::take(&mut self.bytes), ..WriteBuffer::default() };
             self.bytes.clear();
             self.bytes.shrink_to(64 * 1024);
         } else if self.written > 64 * 1024 {
@@ -130,7 +130,7 @@
     }
 
     /// Takes back the marked stretches that fit and of which no byte has left.
-    pub fn take_back(&mut self, fits: impl Fn((u64, u32)) -> bool) -> Vec<(u64, u32)> {
+    pub fn withdraw(&mut self, fits: impl Fn((u64, u32)) -> bool) -> Vec<(u64, u32)> {
         let (mut back, mut cut) = (Vec::new(), 0);
         let bytes = &mut self.bytes;
         self.marks.retain_mut(|m| {
@@ -149,19 +149,19 @@
     /// Drops everything. Tells what was marked and had not left whole.
     pub fn clear(&mut self) -> Vec<(u64, u32)> {
         let unsent = self.marks.iter().map(|m| m.what).collect();
-        *self = Outbox::default();
+        *self = WriteBuffer::default();
         unsent
     }
 }
 
-/// Takes whole messages from the inbox until none is left. `each` gets a message and tells how many bytes it
+/// Takes whole messages from the read_buffer until none is left. `each` gets a message and tells how many bytes it
 /// took; `None` ends it.
 fn drain(
-    inbox: &mut Inbox,
+    read_buffer: &mut ReadBuffer,
     mut each: impl FnMut(&[u8]) -> Result<Option<usize>, Unreadable>,
 ) -> Result<(), Unreadable> {
-    while let Some(taken) = each(inbox.rest())? {
-        inbox.take(taken);
+    while let Some(taken) = each(read_buffer.unread())? {
+        read_buffer.consume(taken);
     }
     Ok(())
 }
--- a/dillhold/tests/calls.rs
+++ b/dillhold/tests/calls.rs
@@ -24,10 +24,10 @@
     let config = read_config(&config(address, address, &targets).to_string()).unwrap();
     let directory = Directory::new(&config.settings);
     let mut bounds = config.limits.bounds();
-    bounds.open_bytes = open_bytes.unwrap_or(bounds.open_bytes);
+    bounds.max_open_bytes = open_bytes.unwrap_or(bounds.max_open_bytes);
     let mut calls = Calls::new(read_settings(&config).unwrap(), bounds, directory).unwrap();
-    let news = calls.directory.take(config.known).unwrap();
-    calls.news(START, news);
+    let news = calls.directory.apply(config.known).unwrap();
+    calls.apply_directory_update(START, news);
     calls.commands.clear();
     calls
 }
@@ -47,18 +47,18 @@
     }
 }
 
-fn set_up(calls: &mut Calls, now: Nanos, link: CallerLink, id: u64, transit: bool) {
+fn set_up(calls: &mut Calls, now: Nanos, link: CallerConnId, id: u64, transit: bool) {
     calls.from_caller(now, link, FromCaller::SetUp(SetUp { id, ..plain(transit) }));
-    calls.settle(now);
+    calls.dispatch_queued_events(now);
 }
 
 /// Lets the deadlines up to a time come due and gives what was commanded, with the time.
 fn run(calls: &mut Calls, until: Nanos) -> Vec<(Nanos, Command)> {
     let mut said: Vec<_> = calls.commands.drain(..).map(|c| (0, c)).collect();
-    while let Some(at) = calls.deadlines.first().filter(|at| *at <= until) {
-        for due in calls.deadlines.sweep(at) {
-            calls.due(at, due);
-            calls.settle(at);
+    while let Some(at) = calls.deadlines.earliest().filter(|at| *at <= until) {
+        for due in calls.deadlines.take_expired(at) {
+            calls.handle_deadline(at, due);
+            calls.dispatch_queued_events(at);
         }
         said.extend(calls.commands.drain(..).map(|c| (at, c)));
     }
@@ -67,17 +67,17 @@
 
 fn sent_to(said: &[(Nanos, Command)]) -> Vec<(Nanos, u32)> {
     let set_up = |c: &Command| match c {
-        Command::Exchange { to, say: ToExchange::SetUp { .. }, .. } => Some(*to),
+        Command::RequestExchange { to, request: ExchangeRequest::SetUp { .. }, .. } => Some(*to),
         _ => None,
     };
     said.iter().filter_map(|(at, c)| set_up(c).map(|to| (*at, to))).collect()
 }
 
-fn finals(said: &[(Nanos, Command)]) -> Vec<(Nanos, &ToCaller)> {
+fn finals(said: &[(Nanos, Command)]) -> Vec<(Nanos, &CallerNotification)> {
     let mut found = Vec::new();
     for (at, command) in said {
-        if let Command::Caller { say, .. } = command {
-            found.push((*at, say));
+        if let Command::NotifyCaller { notification, .. } = command {
+            found.push((*at, notification));
         }
     }
     found
@@ -90,12 +90,13 @@
     set_up(&mut calls, START, 7, 1, true);
     let said = run(&mut calls, START + 4_000 * MS);
     assert_eq!(sent_to(&said).len(), 1);
-    let given_up =
-        |c: &Command| matches!(c, Command::Exchange { say: ToExchange::GiveUp { attempt: 0 }, .. });
+    let given_up = |c: &Command| {
+        matches!(c, Command::RequestExchange { request: ExchangeRequest::GiveUp { attempt: 0 }, .. })
+    };
     assert_eq!(said.iter().filter(|(_, c)| given_up(c)).count(), 1);
-    assert_eq!(finals(&said), vec![(START + 2_990 * MS, &ToCaller::Failed)]);
+    assert_eq!(finals(&said), vec![(START + 2_990 * MS, &CallerNotification::Failed)]);
     assert_eq!(calls.counters.get("errors answers overdue"), 0);
-    assert_eq!(calls.open(), 0);
+    assert_eq!(calls.open_set_ups(), 0);
 }
 
 /// A connection that breaks says nothing against its exchange: the call once tried tandems only after it.
@@ -105,8 +106,8 @@
         let mut calls = table();
         set_up(&mut calls, START, 7, 1, transit);
         assert_eq!(sent_to(&run(&mut calls, START)), vec![(0, 0)]);
-        calls.exchange_lost(START + MS, 0, &[]);
-        calls.settle(START + MS);
+        calls.exchange_disconnected(START + MS, 0, &[]);
+        calls.dispatch_queued_events(START + MS);
         let said = run(&mut calls, START + 1_000 * MS);
         let after = START + 351 * MS;
         assert_eq!(sent_to(&said), vec![(after, 0)], "300 ms of the settings, 50 of the sockets");
@@ -118,10 +119,10 @@
     let mut calls = table();
     set_up(&mut calls, START, 7, 1, false);
     run(&mut calls, START);
-    calls.exchange_lost(START + MS, 0, &[(1, 0)]);
-    calls.settle(START + MS);
+    calls.exchange_disconnected(START + MS, 0, &[(1, 0)]);
+    calls.dispatch_queued_events(START + MS);
     // The module, told so, turns the call away at once.
-    assert_eq!(finals(&run(&mut calls, START + MS)), vec![(0, &ToCaller::Refused(0))]);
+    assert_eq!(finals(&run(&mut calls, START + MS)), vec![(0, &CallerNotification::Refused(0))]);
 }
 
 /// Found by a rehearsal: a connection was reset in the turn in which the set-up was decided. The attempt counted as
@@ -130,8 +131,8 @@
 fn a_set_up_that_is_still_to_be_written_when_its_connection_ends_never_left() {
     let mut calls = table();
     set_up(&mut calls, START, 7, 1, true);
-    calls.exchange_lost(START, 0, &[]);
-    calls.settle(START);
+    calls.exchange_disconnected(START, 0, &[]);
+    calls.dispatch_queued_events(START);
     assert_eq!(calls.counters.get("errors attempts never sent"), 1);
     assert_eq!(sent_to(&run(&mut calls, START + 3_000 * MS)), vec![], "nothing is left to be written");
 }
@@ -143,7 +144,7 @@
     calls.from_exchange(START, 0, FromExchange::Answered { id: 1, description: b"d" });
     run(&mut calls, START);
     calls.answer_lost(START + MS, 1);
-    let released = Command::Exchange { to: 0, id: 1, say: ToExchange::Release(16) };
+    let released = Command::RequestExchange { to: 0, call_id: 1, request: ExchangeRequest::Release(16) };
     assert_eq!(calls.commands, vec![released]);
 }
 
@@ -153,14 +154,19 @@
     let mut calls = table();
     set_up(&mut calls, START, 7, 1, false);
     run(&mut calls, START);
-    let failed = |link| Command::Caller { link: Some(link), id: 1, say: ToCaller::Failed };
+    let failed = |link| Command::NotifyCaller {
+        conn: Some(link),
+        call_id: 1,
+        notification: CallerNotification::Failed,
+    };
     set_up(&mut calls, START, 8, 1, false);
     assert_eq!(calls.commands, vec![failed(8)], "another connection's set-up is no matter of the call");
     calls.commands.clear();
     set_up(&mut calls, START, 7, 1, false);
-    let given_up = Command::Exchange { to: 0, id: 1, say: ToExchange::GiveUp { attempt: 0 } };
+    let given_up =
+        Command::RequestExchange { to: 0, call_id: 1, request: ExchangeRequest::GiveUp { attempt: 0 } };
     assert_eq!(calls.commands, vec![failed(7), given_up], "one answer for both");
-    assert_eq!((calls.open(), calls.has_calls(7)), (0, false));
+    assert_eq!((calls.open_set_ups(), calls.has_calls(7)), (0, false));
     calls.commands.clear();
     set_up(&mut calls, START + MS, 9, 1, false);
     assert_eq!(calls.commands, vec![failed(9)], "late words on the first would be taken for the second's");
@@ -174,7 +180,7 @@
 fn a_set_up_lost_with_its_connection_may_come_again() {
     let mut calls = table();
     set_up(&mut calls, START, 7, 1, false);
-    calls.caller_lost(START, 7);
+    calls.caller_disconnected(START, 7);
     run(&mut calls, START);
     set_up(&mut calls, START + MS, 8, 1, false);
     assert_eq!(sent_to(&run(&mut calls, START + MS)).len(), 1);
@@ -184,9 +190,9 @@
 fn what_a_connection_bears_is_known_until_its_last_call_is_over() {
     let mut calls = table();
     set_up(&mut calls, START, 7, 1, false);
-    assert!(calls.open_on(7) && calls.has_calls(7));
+    assert!(calls.has_open_set_ups(7) && calls.has_calls(7));
     calls.from_exchange(START, 0, FromExchange::Answered { id: 1, description: b"d" });
-    assert!(!calls.open_on(7) && calls.has_calls(7));
+    assert!(!calls.has_open_set_ups(7) && calls.has_calls(7));
     calls.from_exchange(START, 0, FromExchange::Released { id: 1, cause: 16 });
     assert!(!calls.has_calls(7));
 }
@@ -202,12 +208,18 @@
         calls.from_exchange(START, 0, FromExchange::Answered { id: 1, description });
     }
     let said = run(&mut calls, START);
-    assert_eq!(finals(&said), vec![(0, &ToCaller::Answer(b"good".to_vec()))]);
+    assert_eq!(finals(&said), vec![(0, &CallerNotification::Answer(b"good".to_vec()))]);
     let commands: Vec<&Command> = said.iter().map(|(_, command)| command).collect();
-    let set_up = |c: &Command| matches!(c, Command::Exchange { id: 1, say: ToExchange::SetUp { .. }, .. });
+    let set_up = |c: &Command| {
+        matches!(c, Command::RequestExchange { call_id: 1, request: ExchangeRequest::SetUp { .. }, .. })
+    };
     assert!(set_up(commands[0]), "{commands:?}");
-    let answer = Command::Caller { link: Some(7), id: 1, say: ToCaller::Answer(b"good".to_vec()) };
-    assert_eq!(commands[1..], [&Command::Watch(0), &answer], "and nothing of the copy");
+    let answer = Command::NotifyCaller {
+        conn: Some(7),
+        call_id: 1,
+        notification: CallerNotification::Answer(b"good".to_vec()),
+    };
+    assert_eq!(commands[1..], [&Command::StartLivenessChecks(0), &answer], "and nothing of the copy");
 }
 
 /// What is kept for open set-ups once knew no bound but their number.
@@ -219,9 +231,12 @@
         let s = SetUp { id, description: &big, ..plain(false) };
         calls.from_caller(START, 7, FromCaller::SetUp(s));
     }
-    assert_eq!(calls.open(), 1);
+    assert_eq!(calls.open_set_ups(), 1);
     let last = calls.commands.pop_back();
-    assert!(matches!(last, Some(Command::Caller { say: ToCaller::Refused(_), .. })), "{last:?}");
+    assert!(
+        matches!(last, Some(Command::NotifyCaller { notification: CallerNotification::Refused(_), .. })),
+        "{last:?}"
+    );
 }
 
 #[test]
@@ -230,9 +245,9 @@
     let address = "127.0.0.1:1".parse().unwrap();
     let hosts = json!({"all": false, "targets": [target(1, "s-1", address, "DRAINING")]});
     let answer = json!({"pos": 2, "entries": [{"pos": 2, "hosts": hosts}]});
-    let news = calls.directory.take(serde_json::from_value(answer).unwrap()).unwrap();
-    calls.news(START, news);
-    assert!(calls.commands.contains(&Command::Withhold(0)));
+    let news = calls.directory.apply(serde_json::from_value(answer).unwrap()).unwrap();
+    calls.apply_directory_update(START, news);
+    assert!(calls.commands.contains(&Command::WithdrawSetUps(0)));
     set_up(&mut calls, START, 7, 1, true);
     assert!(sent_to(&run(&mut calls, START + 100 * MS)).is_empty());
 }
@@ -247,11 +262,14 @@
     let address = "127.0.0.1:1".parse().unwrap();
     let hosts = json!({"all": false, "targets": [target(1, "s-1", address, "DELETED")]});
     let answer = json!({"pos": 2, "entries": [{"pos": 2, "hosts": hosts}]});
-    let news = calls.directory.take(serde_json::from_value(answer).unwrap()).unwrap();
-    calls.news(START, news);
+    let news = calls.directory.apply(serde_json::from_value(answer).unwrap()).unwrap();
+    calls.apply_directory_update(START, news);
     let said = run(&mut calls, START + 900 * MS);
-    assert_eq!(finals(&said).iter().map(|f| f.1).collect::<Vec<_>>(), vec![&ToCaller::Released(41)]);
-    assert!(said.iter().any(|(_, c)| *c == Command::Ended(0)));
+    assert_eq!(
+        finals(&said).iter().map(|f| f.1).collect::<Vec<_>>(),
+        vec![&CallerNotification::Released(41)]
+    );
+    assert!(said.iter().any(|(_, c)| *c == Command::RemoveExchange(0)));
 }
 
 /// Exchanges answer with a number of `CSeq` of their own: every second attempt was once taken for an earlier
@@ -261,15 +279,15 @@
     let mut calls = table();
     set_up(&mut calls, START, 7, 1, false);
     run(&mut calls, START);
-    calls.exchange_lost(START, 0, &[]);
-    calls.settle(START);
+    calls.exchange_disconnected(START, 0, &[]);
+    calls.dispatch_queued_events(START);
     let (outcome, cause, report) = (Outcome::Failed, Cause::Untold, Report::default());
     let ended = || FromExchange::Ended { id: 1, outcome, cause, report };
     let late = START + 100 * MS;
     calls.from_exchange(late, 0, ended());
     calls.from_exchange(late, 0, FromExchange::Answered { id: 1, description: b"old" });
-    calls.settle(late);
-    let release = Command::Exchange { to: 0, id: 1, say: ToExchange::Release(16) };
+    calls.dispatch_queued_events(late);
+    let release = Command::RequestExchange { to: 0, call_id: 1, request: ExchangeRequest::Release(16) };
     assert_eq!(calls.commands, vec![release.clone()], "what stands there for the first serves nobody");
     calls.commands.clear();
     let now = START + 400 * MS;
@@ -278,7 +296,7 @@
     calls.from_exchange(now, 1, FromExchange::Answered { id: 1, description: b"elsewhere" });
     assert!(finals(&run(&mut calls, now)).is_empty());
     calls.from_exchange(now, 0, FromExchange::Answered { id: 1, description: b"new" });
-    assert_eq!(finals(&run(&mut calls, now)), vec![(0, &ToCaller::Answer(b"new".to_vec()))]);
+    assert_eq!(finals(&run(&mut calls, now)), vec![(0, &CallerNotification::Answer(b"new".to_vec()))]);
 }
 
 /// Found by a rehearsal with events drawn at random: a machine was replaced twice at its address. The link to the
@@ -290,8 +308,8 @@
     let targets = [host("s-1", "DRAINING"), host("s-9", "SERVING")];
     let event = json!({"pos": 2, "hosts": {"rev": 2, "all": false, "targets": targets}});
     let answer = serde_json::from_value(json!({"pos": 2, "entries": [event]})).unwrap();
-    let news = calls.directory.take(answer).unwrap();
-    calls.news(START, news);
+    let news = calls.directory.apply(answer).unwrap();
+    calls.apply_directory_update(START, news);
     calls.commands.clear();
     set_up(&mut calls, START, 7, 1, false);
     assert_eq!(sent_to(&run(&mut calls, START)), vec![(0, 2)], "the new machine has the handle 2");
@@ -301,7 +319,11 @@
         let said = run(calls, START + 2 * MS);
         finals(&said).into_iter().map(|(_, say)| say.clone()).collect::<Vec<_>>()
     };
-    assert_eq!(told(&mut calls), vec![ToCaller::Answer(b"d".to_vec())], "exchange 2 speaks for itself only");
+    assert_eq!(
+        told(&mut calls),
+        vec![CallerNotification::Answer(b"d".to_vec())],
+        "exchange 2 speaks for itself only"
+    );
     calls.from_exchange(START + 2 * MS, 0, FromExchange::Released { id: 1, cause: 16 });
-    assert_eq!(told(&mut calls), vec![ToCaller::Released(16)]);
+    assert_eq!(told(&mut calls), vec![CallerNotification::Released(16)]);
 }
--- a/dillhold/tests/common/mod.rs
+++ b/dillhold/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use dillhold::codec::{binary, sip};
-use dillhold::session::Inbox;
+use dillhold::session::ReadBuffer;
 use serde_json::{json, Value};
 
 pub const DESCRIPTION: &[u8] = b"5f716a7cc1d37084\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0\r\n\xff\0";
@@ -19,7 +19,7 @@
 /// One end of a connection, with what was read and not yet taken.
 pub struct Wire {
     pub stream: TcpStream,
-    inbox: Inbox,
+    read_buffer: ReadBuffer,
 }
 
 impl Wire {
@@ -27,7 +27,7 @@
         // Long enough for any machine: a test that fails waits so long, one that passes does not.
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         stream.set_nodelay(true).unwrap();
-        Wire { stream, inbox: Inbox::default() }
+        Wire { stream, read_buffer: ReadBuffer::default() }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
@@ -37,13 +37,13 @@
     /// Reads until `parse` finds something.
     fn next<T>(&mut self, parse: impl Fn(&[u8]) -> Option<(T, usize)>) -> T {
         loop {
-            if let Some((found, taken)) = parse(self.inbox.rest()) {
-                self.inbox.take(taken);
+            if let Some((found, taken)) = parse(self.read_buffer.unread()) {
+                self.read_buffer.consume(taken);
                 return found;
             }
-            let count = self.stream.read(self.inbox.room()).expect("a message in time");
+            let count = self.stream.read(self.read_buffer.unfilled()).expect("a message in time");
             assert!(count > 0, "the connection ended");
-            self.inbox.filled(count);
+            self.read_buffer.advance(count);
         }
     }
 
@@ -52,7 +52,7 @@
         self.next(|bytes| {
             let (m, taken) = binary::parse(bytes).unwrap()?;
             let description = m.parameter(binary::param::DESCRIPTION).unwrap_or_default().to_vec();
-            Some(((m.kind, m.call, m.cause().unwrap_or(0), description), taken))
+            Some(((m.kind, m.call_id, m.cause().unwrap_or(0), description), taken))
         })
     }
 
@@ -60,8 +60,8 @@
     pub fn sip(&mut self, start: &str) -> (u64, u32, Vec<u8>) {
         let (id, number, text) = self.next(|bytes| {
             let (m, taken) = sip::parse(bytes).unwrap()?;
-            let number = m.sequence().expect("a CSeq").0;
-            Some(((m.call().expect("a Call-ID"), number, bytes[..taken].to_vec()), taken))
+            let number = m.cseq().expect("a CSeq").0;
+            Some(((m.call_id().expect("a Call-ID"), number, bytes[..taken].to_vec()), taken))
         });
         let shown = String::from_utf8_lossy(&text);
         assert!(shown.starts_with(start), "expected {start}, came {shown}");
--- a/dillhold/tests/engine.rs
+++ b/dillhold/tests/engine.rs
@@ -163,7 +163,7 @@
     assert!(starts(&bench.said(exchange), "ACK "));
     let told = bench.said(caller);
     let (answer, _) = binary::parse(&told).unwrap().unwrap();
-    assert_eq!((answer.kind, answer.call), (binary::kind::ANSWER, 7));
+    assert_eq!((answer.kind, answer.call_id), (binary::kind::ANSWER, 7));
     assert_eq!(answer.parameter(binary::param::DESCRIPTION), Some(DESCRIPTION));
 }
 
@@ -215,7 +215,7 @@
     bytes.extend([0, 1, 2, 3]);
     bench.comes(caller, &bytes);
     let told = bench.said(caller);
-    assert_eq!(binary::parse(&told).unwrap().unwrap().0.kind, binary::kind::TESTED);
+    assert_eq!(binary::parse(&told).unwrap().unwrap().0.kind, binary::kind::TEST_RESPONSE);
     assert!(bench.closed(caller));
     let mut room = true;
     bench.turn(|e| room = e.room(caller).is_some());
@@ -394,7 +394,7 @@
     let bytes = bench.said(caller);
     let (mut rest, mut told) = (&bytes[..], Vec::new());
     while let Some((message, taken)) = binary::parse(rest).unwrap() {
-        told.push((message.kind, message.call, message.cause()));
+        told.push((message.kind, message.call_id, message.cause()));
         rest = &rest[taken..];
     }
     told
--- a/dillhold/tests/parsers.rs
+++ b/dillhold/tests/parsers.rs
@@ -1,7 +1,7 @@
 //! The parsers against random cuts of valid messages and random garbage, from fixed seeds.
 
-use dillhold::codec::{binary, http, sip, Unreadable, MESSAGE_CAP};
-use dillhold::session::{Inbox, Outbox};
+use dillhold::codec::{binary, http, sip, Unreadable, MAX_MESSAGE_BYTES};
+use dillhold::session::{ReadBuffer, WriteBuffer};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -17,18 +17,18 @@
     cuts: &[usize],
     parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, Unreadable>,
 ) -> Vec<T> {
-    let (mut inbox, mut found, mut rest) = (Inbox::default(), Vec::new(), stream);
+    let (mut read_buffer, mut found, mut rest) = (ReadBuffer::default(), Vec::new(), stream);
     let mut cuts = cuts.iter().copied().cycle();
     while !rest.is_empty() {
         let (piece, after) = rest.split_at(cuts.next().unwrap_or(1).clamp(1, rest.len()));
-        inbox.put(piece);
+        read_buffer.append(piece);
         rest = after;
-        while let Some((one, taken)) = parse(inbox.rest()).expect("a valid stream") {
+        while let Some((one, taken)) = parse(read_buffer.unread()).expect("a valid stream") {
             found.push(one);
-            inbox.take(taken);
+            read_buffer.consume(taken);
         }
     }
-    assert!(inbox.rest().is_empty(), "nothing is left of a valid stream");
+    assert!(read_buffer.unread().is_empty(), "nothing is left of a valid stream");
     found
 }
 
@@ -49,7 +49,7 @@
         }
         let found = read(&stream, &cuts, |bytes| {
             let own = |m: binary::Message<'_>| {
-                (m.kind, m.call, (0..=255u8).map(|c| m.parameter(c).map(Vec::from)).collect::<Vec<_>>())
+                (m.kind, m.call_id, (0..=255u8).map(|c| m.parameter(c).map(Vec::from)).collect::<Vec<_>>())
             };
             Ok(binary::parse(bytes)?.map(|(m, taken)| (own(m), taken)))
         });
@@ -81,8 +81,10 @@
             let found = read(&stream, &cuts, |bytes| {
                 Ok(sip::parse(bytes)?.map(|(m, taken)| {
                     assert_eq!(m.cause(), Some(16));
-                    let sip::Start::Response(code) = m.start else { panic!("a response was written") };
-                    ((code, m.call().unwrap(), m.sequence().unwrap().0, m.body.to_vec()), taken)
+                    let sip::StartLine::Response(code) = m.start_line else {
+                        panic!("a response was written")
+                    };
+                    ((code, m.call_id().unwrap(), m.cseq().unwrap().0, m.body.to_vec()), taken)
                 }))
             });
             prop_assert_eq!(found, messages);
@@ -140,11 +142,11 @@
                 _ => true,
             };
             let taken = binary::parse(&bytes).map(|p| p.map(|p| p.1));
-            prop_assert!(settled(Some(taken), MESSAGE_CAP));
+            prop_assert!(settled(Some(taken), MAX_MESSAGE_BYTES));
             let taken = sip::parse(&bytes).map(|p| p.map(|p| p.1));
-            prop_assert!(settled(Some(taken), 2 * MESSAGE_CAP));
+            prop_assert!(settled(Some(taken), 2 * MAX_MESSAGE_BYTES));
             let taken = http::parse(&bytes).map(|p| p.map(|p| p.1));
-            prop_assert!(settled(Some(taken), MESSAGE_CAP + http::BODY_CAP));
+            prop_assert!(settled(Some(taken), MAX_MESSAGE_BYTES + http::MAX_BODY_BYTES));
             Ok(())
         })
         .unwrap();
@@ -152,13 +154,13 @@
 
 #[test]
 fn messages_over_the_cap_are_refused_before_they_are_whole() {
-    let mut binary = (MESSAGE_CAP as u16 - 1).to_be_bytes().to_vec();
+    let mut binary = (MAX_MESSAGE_BYTES as u16 - 1).to_be_bytes().to_vec();
     assert_eq!(binary::parse(&binary), Err(Unreadable::TooLong));
-    binary[..2].copy_from_slice(&(MESSAGE_CAP as u16 - 2).to_be_bytes());
+    binary[..2].copy_from_slice(&(MAX_MESSAGE_BYTES as u16 - 2).to_be_bytes());
     assert_eq!(binary::parse(&binary), Ok(None));
-    let sip = format!("BYE sip:a SIP/2.0\r\nContent-Length: {MESSAGE_CAP}\r\n\r\n");
+    let sip = format!("BYE sip:a SIP/2.0\r\nContent-Length: {MAX_MESSAGE_BYTES}\r\n\r\n");
     assert_eq!(sip::parse(sip.as_bytes()), Err(Unreadable::TooLong));
-    assert_eq!(sip::parse(&vec![b'A'; MESSAGE_CAP]), Err(Unreadable::TooLong));
+    assert_eq!(sip::parse(&vec![b'A'; MAX_MESSAGE_BYTES]), Err(Unreadable::TooLong));
 }
 
 /// An answer with a line that is no header was once passed on as good.
@@ -190,13 +192,13 @@
 /// What has begun to leave cannot be taken back; what has not must not leave.
 #[test]
 fn only_what_has_not_begun_to_leave_is_taken_back() {
-    let mut outbox = Outbox::default();
+    let mut write_buffer = WriteBuffer::default();
     for attempt in 0..3 {
-        outbox.mark((7, attempt), |out| out.extend([attempt as u8; 70_000]));
+        write_buffer.append_tracked((7, attempt), |out| out.extend([attempt as u8; 70_000]));
     }
-    outbox.buffer().extend(b"end");
-    outbox.wrote(70_001);
-    assert_eq!(outbox.take_back(|m| m.1 > 0), vec![(7, 2)], "the second one has begun");
-    assert_eq!(outbox.pending(), [&[1; 69_999][..], b"end"].concat());
-    assert_eq!(outbox.clear(), vec![(7, 1)], "and has not left whole");
+    write_buffer.buffer().extend(b"end");
+    write_buffer.mark_written(70_001);
+    assert_eq!(write_buffer.withdraw(|m| m.1 > 0), vec![(7, 2)], "the second one has begun");
+    assert_eq!(write_buffer.pending(), [&[1; 69_999][..], b"end"].concat());
+    assert_eq!(write_buffer.clear(), vec![(7, 1)], "and has not left whole");
 }
--- a/rehearsal/src/audit.rs
+++ b/rehearsal/src/audit.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use dillhold::directory::SLACK;
+use dillhold::directory::SOCKET_DELAY_ALLOWANCE;
 use pitchgw::interface::Nanos;
 use serde::{Deserialize, Serialize};
 
@@ -12,9 +12,9 @@
 use crate::world::{MS, SEC};
 
 /// After the caller's deadline a final answer still counts for so long.
-pub const ANSWER_GRACE: Nanos = 20 * MS + SLACK;
+pub const ANSWER_GRACE: Nanos = 20 * MS + SOCKET_DELAY_ALLOWANCE;
 /// Nothing new goes to a node that drains or is gone, later than this after it was told.
-const DRAIN_GRACE: Nanos = 500 * MS + SLACK;
+const DRAIN_GRACE: Nanos = 500 * MS + SOCKET_DELAY_ALLOWANCE;
 /// What the register holds counts as told after this at the latest, whether it arrived or not.
 const TOLD_AT_LATEST: Nanos = 7 * SEC;
 /// The same where a call to the register has failed, was refused or given up: from when it could be reached.
@@ -22,10 +22,10 @@
 /// After an attempt that may have left something behind the call is not sent for so long.
 const RELEASE_WAIT: Nanos = 300 * MS;
 /// A call that is over is released towards its caller within this time after its exchange said so.
-const RELEASED_AFTER_BYE: Nanos = SEC + SLACK;
+const RELEASED_AFTER_BYE: Nanos = SEC + SOCKET_DELAY_ALLOWANCE;
 /// The same where its exchange could not say so, counted from the end of the call. A controller has to find out
 /// by itself: that the node register knew nothing yet is no excuse.
-const RELEASED_AFTER_END: Nanos = 8 * SEC + SLACK;
+const RELEASED_AFTER_END: Nanos = 8 * SEC + SOCKET_DELAY_ALLOWANCE;
 /// A set-up that comes later than this after SIGTERM has to be answered before SIGKILL.
 const TAKEN_LATE: Nanos = 700 * MS;
 /// What is over is remembered for so long, for what crosses its end.
--- a/rehearsal/src/wall_clock.rs
+++ b/rehearsal/src/wall_clock.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use dillhold::directory::SLACK;
+use dillhold::directory::SOCKET_DELAY_ALLOWANCE;
 use mio::{Events, Interest, Poll, Token};
 use pitchgw::interface::Nanos;
 use rustix::net::{AddressFamily, SocketType};
@@ -203,7 +203,7 @@
 
     /// Whether what the machine did to the driver may have broken a rule: the slack of the rules was used up.
     pub fn too_late(&self) -> bool {
-        self.longest > SLACK || self.late * 100 > self.steps
+        self.longest > SOCKET_DELAY_ALLOWANCE || self.late * 100 > self.steps
     }
 }
 
--- a/rehearsal/src/world/bad_callers.rs
+++ b/rehearsal/src/world/bad_callers.rs
@@ -38,9 +38,9 @@
     let mut message = Vec::new();
     let parameters = [
         (param::CLASS, class.as_bytes()),
-        (param::WAIT, wait),
-        (param::NUMBER, b"77"),
-        (param::FIGURES, b"dest:1;width:1;via:-1"),
+        (param::TIMEOUT_MS, wait),
+        (param::CALLED_NUMBER, b"77"),
+        (param::ATTRIBUTES, b"dest:1;width:1;via:-1"),
         (param::DESCRIPTION, b"d"),
     ];
     binary::write(&mut message, kind::SET_UP, id, &parameters);
--- a/rehearsal/src/world/callers.rs
+++ b/rehearsal/src/world/callers.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use dillhold::codec::binary::{self, kind, param};
-use dillhold::session::Inbox;
+use dillhold::session::ReadBuffer;
 use pitchgw::interface::Nanos;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -229,9 +229,9 @@
             id,
             &[
                 (param::CLASS, name.as_bytes()),
-                (param::WAIT, ms.as_bytes()),
-                (param::NUMBER, number.as_bytes()),
-                (param::FIGURES, figures.as_bytes()),
+                (param::TIMEOUT_MS, ms.as_bytes()),
+                (param::CALLED_NUMBER, number.as_bytes()),
+                (param::ATTRIBUTES, figures.as_bytes()),
                 (param::DESCRIPTION, description),
             ],
         );
@@ -339,19 +339,20 @@
     }
 
     /// Takes in what a controller says to callers; false: it cannot be read.
-    pub(super) fn callers_hear(&mut self, controller: usize, inbox: &mut Inbox) -> bool {
+    pub(super) fn callers_hear(&mut self, controller: usize, inbox: &mut ReadBuffer) -> bool {
         loop {
-            let (kind, id, cause, pause, description, taken) = match binary::parse(inbox.rest()) {
+            let (kind, id, cause, pause, description, taken) = match binary::parse(inbox.unread()) {
                 Err(_) => return false,
                 Ok(None) => return true,
                 Ok(Some((m, taken))) => {
-                    let pause =
-                        m.parameter(param::PAUSE).and_then(|p| std::str::from_utf8(p).ok()?.parse().ok());
+                    let pause = m
+                        .parameter(param::RETRY_AFTER_MS)
+                        .and_then(|p| std::str::from_utf8(p).ok()?.parse().ok());
                     let description = m.parameter(param::DESCRIPTION).unwrap_or_default().to_vec();
-                    (m.kind, m.call, m.cause().unwrap_or(0), pause, description, taken)
+                    (m.kind, m.call_id, m.cause().unwrap_or(0), pause, description, taken)
                 }
             };
-            inbox.take(taken);
+            inbox.consume(taken);
             match kind {
                 kind::ANSWER => {
                     let description = &description;
--- a/rehearsal/src/world/journal.rs
+++ b/rehearsal/src/world/journal.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dillhold::session::Inbox;
+use dillhold::session::ReadBuffer;
 use pitchgw::interface::Nanos;
 use rand::Rng;
 use serde_json::{json, Value};
@@ -151,10 +151,10 @@
     }
 
     /// Takes in a request; false: it cannot be read.
-    pub(super) fn journal_asked(&mut self, controller: usize, wire: WireId, inbox: &mut Inbox) -> bool {
-        let Some(end) = inbox.rest().windows(4).position(|w| w == b"\r\n\r\n") else { return true };
-        let head = String::from_utf8_lossy(&inbox.rest()[..end]).into_owned();
-        inbox.take(end + 4);
+    pub(super) fn journal_asked(&mut self, controller: usize, wire: WireId, inbox: &mut ReadBuffer) -> bool {
+        let Some(end) = inbox.unread().windows(4).position(|w| w == b"\r\n\r\n") else { return true };
+        let head = String::from_utf8_lossy(&inbox.unread()[..end]).into_owned();
+        inbox.consume(end + 4);
         let line = head.lines().next().unwrap_or_default();
         let Some(query) = line.strip_prefix("GET /journal?").and_then(|l| l.strip_suffix(" HTTP/1.1")) else {
             return false;
--- a/rehearsal/src/world/mod.rs
+++ b/rehearsal/src/world/mod.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-use dillhold::session::Inbox;
+use dillhold::session::ReadBuffer;
 use pitchgw::interface::Nanos;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -109,7 +109,7 @@
     mute: bool,
     /// The network is cut: what passed to the controller waits here for the cut to end, and what came from it.
     held: Option<Held>,
-    inbox: Inbox,
+    inbox: ReadBuffer,
     /// What waits for it to come up.
     waiting: Vec<u8>,
 }
@@ -401,7 +401,7 @@
     fn new_wire(&mut self, controller: usize, party: Party, up: bool) -> WireId {
         let id = self.next_wire;
         self.next_wire += 1;
-        let (inbox, waiting) = (Inbox::default(), Vec::new());
+        let (inbox, waiting) = (ReadBuffer::default(), Vec::new());
         self.wires.insert(id, Wire { controller, party, up, mute: false, held: None, inbox, waiting });
         id
     }
@@ -506,7 +506,7 @@
             return held.from_controller.extend(bytes);
         }
         passed(&mut self.hash, self.now, wire, 1, bytes);
-        w.inbox.put(bytes);
+        w.inbox.append(bytes);
         let mut inbox = std::mem::take(&mut w.inbox);
         let (controller, party) = (w.controller, w.party);
         let readable = match party {
--- a/rehearsal/src/world/nodes.rs
+++ b/rehearsal/src/world/nodes.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use dillhold::codec::sip::{self, Message, Start};
-use dillhold::session::Inbox;
+use dillhold::codec::sip::{self, Message, StartLine};
+use dillhold::session::ReadBuffer;
 use pitchgw::interface::Nanos;
 use rand::Rng;
 
@@ -164,21 +164,21 @@
         controller: usize,
         machine: usize,
         wire: WireId,
-        inbox: &mut Inbox,
+        inbox: &mut ReadBuffer,
     ) -> bool {
         loop {
-            let (message, taken) = match sip::parse(inbox.rest()) {
+            let (message, taken) = match sip::parse(inbox.unread()) {
                 Err(_) => return false,
                 Ok(None) => return true,
                 Ok(Some(found)) => found,
             };
-            let Some((id, (sequence, _))) = message.call().zip(message.sequence()) else { return false };
+            let Some((id, (sequence, _))) = message.call_id().zip(message.cseq()) else { return false };
             let mut out = Vec::new();
-            match message.start {
-                Start::Request(b"INVITE") => {
+            match message.start_line {
+                StartLine::Request(b"INVITE") => {
                     self.invited(controller, machine, wire, (id, sequence), &message);
                 }
-                Start::Request(b"CANCEL") => {
+                StartLine::Request(b"CANCEL") => {
                     self.audit.saw(self.now, Seen::Cancel { controller, id });
                     say(&mut out, format_args!("SIP/2.0 200 OK"), id, (sequence, "CANCEL"), "", b"");
                     self.send(wire, &out);
@@ -188,18 +188,18 @@
                         self.call_off(leg);
                     }
                 }
-                Start::Request(b"BYE") => {
+                StartLine::Request(b"BYE") => {
                     self.audit.saw(self.now, Seen::Bye { controller, id });
                     say(&mut out, format_args!("SIP/2.0 200 OK"), id, (sequence, "BYE"), "", b"");
                     self.send(wire, &out);
                     self.released_by_controller(controller, id);
                 }
-                Start::Response(_) => {
+                StartLine::Response(_) => {
                     self.machines[machine].unanswered.remove(&id);
                 }
                 _ => {}
             }
-            inbox.take(taken);
+            inbox.consume(taken);
         }
     }
 
--- a/rehearsal/tests/common/mod.rs
+++ b/rehearsal/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 use dillhold::codec::{binary, http, sip};
 use dillhold::engine::{ConnId, Interest, Output};
-use dillhold::session::Inbox;
+use dillhold::session::ReadBuffer;
 use pitchgw::interface::Nanos;
 use rehearsal::virtual_clock::Controller;
 use serde_json::Value;
@@ -38,7 +38,7 @@
 
 struct Conn {
     peer: Peer,
-    inbox: Inbox,
+    inbox: ReadBuffer,
     out: Vec<u8>,
     up: bool,
 }
@@ -129,7 +129,7 @@
 
     fn add(&mut self, peer: Peer, up: bool) -> ConnId {
         self.next += 1;
-        self.conns.insert(self.next, Conn { peer, inbox: Inbox::default(), out: Vec::new(), up });
+        self.conns.insert(self.next, Conn { peer, inbox: ReadBuffer::default(), out: Vec::new(), up });
         self.next
     }
 
@@ -233,7 +233,7 @@
     }
 
     fn caller_said(&mut self, conn: ConnId, message: binary::Message<'_>) {
-        let id = message.call;
+        let id = message.call_id;
         match message.kind {
             binary::kind::SET_UP => {
                 let get = |code| message.parameter(code).unwrap_or_default().to_vec();
@@ -267,16 +267,16 @@
     }
 
     fn machine_said(&mut self, uid: &str, message: sip::Message<'_>) {
-        let id = message.call().unwrap_or(0);
-        match message.start {
-            sip::Start::Request(b"BYE") => {
+        let id = message.call_id().unwrap_or(0);
+        match message.start_line {
+            sip::StartLine::Request(b"BYE") => {
                 self.say(uid, "ACK", id, "", b"");
                 if self.fault != Fault::PassesNoRelease {
                     self.tell(id, binary::kind::RELEASE, &[(binary::param::CAUSE, &[16])]);
                 }
                 self.calls.remove(&id);
             }
-            sip::Start::Response(code) if message.sequence().is_some_and(|s| s.1 == b"INVITE") => {
+            sip::StartLine::Response(code) if message.cseq().is_some_and(|s| s.1 == b"INVITE") => {
                 let here = |c: &&mut Call| !c.answered && c.at.as_deref() == Some(uid);
                 let Some(call) = self.calls.get_mut(&id).filter(here) else { return };
                 if code == 200 {
@@ -321,7 +321,7 @@
         let peer = c.peer.clone();
         let inbox = std::mem::take(&mut c.inbox);
         self.conns.insert(conn, c);
-        let mut rest = inbox.rest();
+        let mut rest = inbox.unread();
         loop {
             let taken = match &peer {
                 Peer::Caller => match binary::parse(rest) {
@@ -347,7 +347,7 @@
         }
         let left = rest.to_vec();
         if let Some(c) = self.conns.get_mut(&conn) {
-            c.inbox.put(&left);
+            c.inbox.append(&left);
         }
     }
 
@@ -397,10 +397,10 @@
         self.gone(conn);
     }
     fn room(&mut self, conn: ConnId) -> Option<&mut [u8]> {
-        Some(self.conns.get_mut(&conn)?.inbox.room())
+        Some(self.conns.get_mut(&conn)?.inbox.unfilled())
     }
     fn filled(&mut self, conn: ConnId, count: usize) {
-        self.conns.get_mut(&conn).expect("open").inbox.filled(count);
+        self.conns.get_mut(&conn).expect("open").inbox.advance(count);
         self.take_in(conn);
     }
     fn sweep(&mut self) {
