--- a/dillhold/src/call/attempts.rs
+++ b/dillhold/src/call/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: sent, lost with their connections, given up, and how they ended.
 
-use pitchgw::interface::{CallId, Cause, Event, ExchangeId, Nanos, Outcome, Report, Standing};
+use pitchgw::interface::{CallId, Cause, Event, ExchangeId, ExchangeState, LoadReport, Nanos, Outcome};
 
 use super::{AttemptProgress, Call, Calls, Command, Deadline, ExchangeRequest, Out};
 
@@ -59,7 +59,7 @@
             AttemptProgress::Sent => (Outcome::Cut, "errors attempts cut"),
         };
         self.counters.increment(name);
-        self.ended(now, id, out, (outcome, Cause::Untold, Report::default()));
+        self.ended(now, id, out, (outcome, Cause::Untold, LoadReport::default()));
     }
 
     /// Whether an attempt is out at an exchange.
@@ -73,26 +73,26 @@
         let Some(call) = self.table.get_mut(&id) else { return };
         let attempt = call.attempts;
         call.attempts += 1;
-        let (number, standing) = machine.unwrap_or((u32::MAX, Standing::Gone));
+        let (number, standing) = machine.unwrap_or((u32::MAX, ExchangeState::Gone));
         let allowed = call.owed
             && call.out.is_none()
             && attempt < self.set.max_attempts
             && now >= call.not_before
             && now < call.deadline
-            && standing == Standing::Up
-            && Some(number) != self.set.home
+            && standing == ExchangeState::Up
+            && Some(number) != self.set.home_exchange
             && (!call.transit || number == call.destination);
         if !allowed {
             self.counters.increment("errors attempts not allowed");
-            return self.later.push_back(Event::Ended {
+            return self.later.push_back(Event::AttemptEnded {
                 call: handle,
                 attempt,
                 exchange: to,
                 outcome: Outcome::NotSent,
                 cause: Cause::Untold,
-                took: 0,
-                settled: !call.owed,
-                report: Report::default(),
+                elapsed: 0,
+                call_over: !call.owed,
+                report: LoadReport::default(),
             });
         }
         tracing::debug!(call = format_args!("{id:016x}"), attempt, exchange = to, "attempt");
@@ -115,10 +115,10 @@
         let Some(out) = self.table.get(&id).and_then(|c| c.out) else { return };
         self.counters.increment("sent set-ups given up");
         self.request_exchange(out.exchange, id, ExchangeRequest::GiveUp { attempt: out.attempt });
-        self.ended(now, id, out, (outcome, Cause::Untold, Report::default()));
+        self.ended(now, id, out, (outcome, Cause::Untold, LoadReport::default()));
     }
 
-    pub(super) fn ended(&mut self, now: Nanos, id: u64, out: Out, how: (Outcome, Cause, Report)) {
+    pub(super) fn ended(&mut self, now: Nanos, id: u64, out: Out, how: (Outcome, Cause, LoadReport)) {
         let (outcome, cause, report) = how;
         let (call, attempt, exchange) = (format_args!("{id:016x}"), out.attempt, out.exchange);
         tracing::debug!(call, attempt, exchange, ?outcome, ?cause, "attempt ended");
@@ -126,16 +126,16 @@
         let Some(call) = self.table.get_mut(&id) else { return };
         call.out = None;
         if matches!(outcome, Outcome::TimedOut | Outcome::Cut | Outcome::CalledOff) {
-            call.not_before = now + self.set.release;
+            call.not_before = now + self.set.release_wait;
         }
-        self.later.push_back(Event::Ended {
+        self.later.push_back(Event::AttemptEnded {
             call: call.handle,
             attempt: out.attempt,
             exchange: out.exchange,
             outcome,
             cause,
-            took: now - out.sent,
-            settled: !call.owed,
+            elapsed: now - out.sent,
+            call_over: !call.owed,
             report,
         });
     }
--- a/dillhold/src/call/messages.rs
+++ b/dillhold/src/call/messages.rs
@@ -1,7 +1,7 @@
 //! What passes between the call table and the connections: words that name no wire format. A second protocol
 //! needs a session that speaks these.
 
-use pitchgw::interface::{CallId, Cause, ExchangeId, Nanos, Outcome, Report};
+use pitchgw::interface::{CallId, Cause, ExchangeId, LoadReport, Nanos, Outcome};
 
 /// A connection from callers. Numbers are never used again.
 pub type CallerConnId = u64;
@@ -66,7 +66,7 @@
         /// Why.
         cause: Cause,
         /// The group's state, where it is told.
-        report: Report,
+        report: LoadReport,
     },
     /// A call that stood is over.
     Released {
@@ -76,7 +76,7 @@
         cause: u8,
     },
     /// The state of the group.
-    Group(Report),
+    Group(LoadReport),
 }
 
 /// How far an attempt had come when its connection failed.
--- a/dillhold/src/call/mod.rs
+++ b/dillhold/src/call/mod.rs
@@ -173,7 +173,7 @@
         let class = |(name, width): (&String, u32)| measured::meter::Class { name: name.clone(), width };
         let classes = self.told.classes.iter().zip(widths).map(class).collect();
         let persists = self.set.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let home = self.set.home.unwrap_or(self.set.own_number);
+        let home = self.set.home_exchange.unwrap_or(self.set.controller_index);
         let meter = Meter::new(home, classes, calendar, unix_ms(persists), unix_ms(now));
         self.deadlines.add(meter.ends() as Nanos * MS, Deadline::IntervalEnd);
         self.meter = Some(meter);
@@ -196,7 +196,7 @@
     /// Whether these settings can take the place of the present ones while calls are open and stand: they are of
     /// the same exchange, in the same layout, with the same classes.
     pub fn can_reconfigure(&self, told: &ControllerSettings) -> bool {
-        let same = |s: &Settings| (s.home, s.own_number, s.zone, s.shape);
+        let same = |s: &Settings| (s.home_exchange, s.controller_index, s.zone, s.topology);
         same(&told.module) == same(&self.told.module) && told.classes == self.told.classes
     }
 
@@ -319,7 +319,7 @@
             self.notify_caller(
                 Some(link),
                 s.id,
-                CallerNotification::Refused(self.set.max_pause.unwrap_or(0)),
+                CallerNotification::Refused(self.set.max_retry_after.unwrap_or(0)),
             );
             return true;
         }
@@ -335,7 +335,7 @@
             self.notify_caller(
                 Some(link),
                 s.id,
-                CallerNotification::Refused(self.set.max_pause.unwrap_or(0)),
+                CallerNotification::Refused(self.set.max_retry_after.unwrap_or(0)),
             );
             return true;
         }
@@ -379,16 +379,16 @@
         }
         self.tell(
             now,
-            Event::Call(NewCall {
+            Event::CallOffered(NewCall {
                 call: handle,
                 class,
                 dialled,
                 deadline,
                 destination: s.destination,
                 width,
-                advised: s.advised,
-                transit: s.transit,
-                cut: s.again,
+                advised_route: s.advised,
+                in_transit: s.transit,
+                after_cut: s.again,
             }),
         );
         true
@@ -423,7 +423,7 @@
     /// The caller has left, or the answer is given without the module. `for_good`: the id may not come again.
     fn abandon(&mut self, now: Nanos, id: u64, for_good: bool) {
         if let Some(handle) = self.answered(id) {
-            self.tell(now, Event::HungUp(handle));
+            self.tell(now, Event::CallerHungUp(handle));
             self.give_up(now, id, Outcome::CalledOff);
             self.forget(now, id, for_good);
         }
@@ -455,15 +455,15 @@
             FromExchange::Group(report) => {
                 self.counters.increment("taken group states");
                 let number = self.directory.machine(exchange).map(|m| m.number);
-                if let Some((free, size)) = report.free.zip(report.size) {
+                if let Some((free, size)) = report.free_circuits.zip(report.group_size) {
                     let in_use = (size - free).max(0.0);
                     self.groups.entry(exchange).or_insert(GroupState { at: now, in_use });
                 }
-                let known = number.zip(report.free).zip(report.size);
+                let known = number.zip(report.free_circuits).zip(report.group_size);
                 if let (Some(meter), Some(((number, free), size))) = (&mut self.meter, known) {
                     meter.state(unix_ms(now), number, free, size);
                 }
-                self.tell(now, Event::Probed { exchange, answered: true, took: 0, report });
+                self.tell(now, Event::LoadReported { exchange, answered: true, elapsed: 0, report });
             }
         }
     }
@@ -499,7 +499,7 @@
         }
         self.counters.increment("answered stands");
         self.notify_caller(Some(link), id, CallerNotification::Answer(description.to_vec()));
-        self.tell(now, Event::Stands { call: handle, attempt: out.attempt, took: now - out.sent });
+        self.tell(now, Event::CallStands { call: handle, attempt: out.attempt, elapsed: now - out.sent });
     }
 
     // -----------------------------------------------------------------------------------------------------
@@ -511,10 +511,10 @@
         for (kind, entries) in news.lists {
             tracing::info!(?kind, ?entries, "list of exchanges");
             self.counters.increment("taken lists");
-            for e in entries.iter().filter(|e| e.standing != Standing::Up) {
+            for e in entries.iter().filter(|e| e.standing != ExchangeState::Up) {
                 self.commands.push_back(Command::WithdrawSetUps(e.exchange));
             }
-            self.tell(now, Event::List(kind, entries));
+            self.tell(now, Event::ListUpdated(kind, entries));
         }
         for exchange in news.ended_exchanges {
             self.commands.push_back(Command::WithdrawSetUps(exchange));
@@ -526,7 +526,7 @@
     /// Something is due.
     pub fn handle_deadline(&mut self, now: Nanos, due: Deadline) {
         match due {
-            Deadline::ModuleTimer(token) => self.tell(now, Event::Timer(token)),
+            Deadline::ModuleTimer(token) => self.tell(now, Event::TimerExpired(token)),
             Deadline::AttemptTimeout(id, handle, attempt) => {
                 let call = self.table.get(&id).filter(|c| c.handle == handle);
                 if call.and_then(|c| c.out).is_some_and(|o| o.attempt == attempt) {
@@ -544,7 +544,7 @@
             }
             Deadline::ExchangeRemoval(exchange) => {
                 let machine = self.directory.machine(exchange);
-                let lives = machine.filter(|m| m.standing != Standing::Gone);
+                let lives = machine.filter(|m| m.standing != ExchangeState::Gone);
                 let before = lives.map_or(Nanos::MAX, |m| m.since.unwrap_or(0));
                 self.exchange_ended(now, exchange, before);
                 if before == Nanos::MAX {
@@ -582,7 +582,7 @@
         let module = &mut self.module;
         // A panic in the module costs what the event asked for, not the program; the guard on the final answer
         // serves a call that is left without one.
-        if catch_unwind(AssertUnwindSafe(|| module.handle(now, event, &mut actions))).is_err() {
+        if catch_unwind(AssertUnwindSafe(|| module.handle_event(now, event, &mut actions))).is_err() {
             self.counters.increment("errors panics in the module");
         }
         for action in actions {
@@ -592,19 +592,19 @@
 
     fn act(&mut self, now: Nanos, action: Action) {
         match action {
-            Action::Send { call, exchange, timeout } => self.send(now, call, exchange, timeout),
-            Action::CallOff { call, attempt } => {
+            Action::SendSetUp { call, exchange, timeout } => self.send(now, call, exchange, timeout),
+            Action::CancelAttempt { call, attempt } => {
                 if let Some(id) = self.ids.get(&call).copied() {
                     if self.table.get(&id).and_then(|c| c.out).is_some_and(|o| o.attempt == attempt) {
                         self.give_up(now, id, Outcome::CalledOff);
                     }
                 }
             }
-            Action::Refuse { call, pause } => {
-                self.final_answer(now, call, CallerNotification::Refused(pause))
+            Action::Refuse { call, retry_after } => {
+                self.final_answer(now, call, CallerNotification::Refused(retry_after))
             }
             Action::Fail(call) => self.final_answer(now, call, CallerNotification::Failed),
-            Action::Timer(token, at) => self.deadlines.add(at, Deadline::ModuleTimer(token)),
+            Action::SetTimer(token, at) => self.deadlines.add(at, Deadline::ModuleTimer(token)),
             Action::Note(text) => tracing::info!(text, "note of the module"),
             // Probes are not allowed, and the journal is followed unasked.
             Action::Probe(_) | Action::Subscribe | Action::FetchList => {}
--- a/dillhold/src/call/standing.rs
+++ b/dillhold/src/call/standing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::hash_map::Entry;
 
-use pitchgw::interface::{Cause, ExchangeId, Nanos, Outcome, Report};
+use pitchgw::interface::{Cause, ExchangeId, LoadReport, Nanos, Outcome};
 
 use super::{unix_ms, Call, CallerConnId, CallerNotification, Calls, ExchangeRequest, CUT};
 
@@ -119,7 +119,7 @@
         if let (Some(meter), Outcome::Completed) = (&mut self.meter, outcome) {
             meter.held(call.class, unix_ms(now - call.stood_at));
         }
-        self.ended(now, id, stood, (outcome, Cause::Untold, Report::default()));
+        self.ended(now, id, stood, (outcome, Cause::Untold, LoadReport::default()));
         self.forget(now, id, true);
     }
 }
--- a/dillhold/src/directory.rs
+++ b/dillhold/src/directory.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
-use pitchgw::interface::{Entry, ExchangeId, ListKind, Nanos, Settings, Standing};
-use pitchgw::wire::{Message, Names};
+use pitchgw::interface::{Entry, ExchangeId, ExchangeState, ListUpdate, Nanos, Settings};
+use pitchgw::wire::{Message, NameTable};
 use serde::Deserialize;
 use serde_json::{json, Value};
 
@@ -150,9 +150,9 @@
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|e| format!("configuration: seed: {e}"))?;
     let settings = &config.settings;
     let launch = Message::parse(&json!(["LAUNCH", "agent/0", seed, settings]).to_string());
-    let (_, mut module, seed) = launch.and_then(|m| Names::launch(&m)).map_err(|e| e.to_string())?;
-    module.check().map_err(|e| format!("configuration: settings: {e}"))?;
-    module.release += SOCKET_DELAY_ALLOWANCE;
+    let (_, mut module, seed) = launch.and_then(|m| NameTable::from_launch(&m)).map_err(|e| e.to_string())?;
+    module.validate().map_err(|e| format!("configuration: settings: {e}"))?;
+    module.release_wait += SOCKET_DELAY_ALLOWANCE;
     let grades = settings["grades"].as_array().into_iter().flatten();
     let permissions = &settings["permissions"];
     let field = |i: usize, usual: &str| settings["report"]["fields"][i].as_str().unwrap_or(usual).to_string();
@@ -174,7 +174,7 @@
     /// The exchange's number.
     pub number: u32,
     /// What the journal says of it.
-    pub standing: Standing,
+    pub standing: ExchangeState,
     /// When it started; `None` means long ago.
     pub since: Option<Nanos>,
     uid: String,
@@ -184,7 +184,7 @@
 #[derive(Debug, Default)]
 pub struct DirectoryUpdate {
     /// List events for the module, in order.
-    pub lists: Vec<(ListKind, Vec<Entry>)>,
+    pub lists: Vec<(ListUpdate, Vec<Entry>)>,
     /// Machines whose process has ended: they left the list or started anew.
     pub ended_exchanges: Vec<ExchangeId>,
 }
@@ -228,7 +228,7 @@
 
     /// Drops a machine that has left the list and has no more calls.
     pub fn remove_gone(&mut self, id: ExchangeId) {
-        self.machines.retain(|i, m| *i != id || m.standing != Standing::Gone);
+        self.machines.retain(|i, m| *i != id || m.standing != ExchangeState::Gone);
     }
 
     /// Takes in an answer of the journal. An error means that events are missing between those known and
@@ -254,16 +254,16 @@
 
     fn hosts(&mut self, hosts: Hosts, news: &mut DirectoryUpdate) {
         let kind = match (hosts.all, self.listed) {
-            (false, _) => ListKind::Changes,
-            (true, false) => ListKind::Restored,
-            (true, true) => ListKind::Whole,
+            (false, _) => ListUpdate::Changes,
+            (true, false) => ListUpdate::Restored,
+            (true, true) => ListUpdate::Whole,
         };
         self.listed |= hosts.all;
         if hosts.all {
             let named = |uid: &str| hosts.targets.iter().any(|h| h.uid == uid);
             for (id, machine) in &mut self.machines {
-                if machine.standing != Standing::Gone && !named(&machine.uid) {
-                    machine.standing = Standing::Gone;
+                if machine.standing != ExchangeState::Gone && !named(&machine.uid) {
+                    machine.standing = ExchangeState::Gone;
                     news.ended_exchanges.push(*id);
                 }
             }
@@ -278,19 +278,19 @@
         self.next = self.next.max(id + 1);
         let since = Some(host.boot_ms * MS).filter(|t| *t > 0);
         let standing = match host.state {
-            State::Serving => Standing::Up,
-            State::Draining => Standing::Draining,
-            State::Deleted => Standing::Gone,
+            State::Serving => ExchangeState::Up,
+            State::Draining => ExchangeState::Draining,
+            State::Deleted => ExchangeState::Gone,
         };
         if let Some(old) = self.machines.get(&id) {
-            let gone = standing == Standing::Gone && old.standing != Standing::Gone;
+            let gone = standing == ExchangeState::Gone && old.standing != ExchangeState::Gone;
             if gone || old.since != since {
                 news.ended_exchanges.push(id);
             }
         }
         let number = host.pod_group;
         let zone = self.zones.iter().position(|z| *z == host.az).unwrap_or(self.zones.len()) as u32;
-        if known.is_some() || standing != Standing::Gone {
+        if known.is_some() || standing != ExchangeState::Gone {
             let (address, uid) = (host.endpoint, host.uid);
             self.machines.insert(id, Machine { address, number, standing, since, uid });
         }
@@ -324,7 +324,7 @@
         let mut directory = Directory::new(&json!({"dcs": ["a", "b"]}));
         let first: &[_] = &[("s-1", "SERVING", 0), ("s-2", "SERVING", 0)];
         let news = directory.apply(answer(&[(1, true, first)])).unwrap();
-        assert_eq!(news.lists[0].0, ListKind::Restored);
+        assert_eq!(news.lists[0].0, ListUpdate::Restored);
         assert_eq!(news.lists[0].1[0].zone, 1);
         directory
     }
@@ -350,7 +350,7 @@
         assert!(directory.apply(answer(&[(4, false, one)])).is_err());
         assert_eq!(directory.position, 0);
         let news = directory.apply(answer(&[(1, true, one), (2, false, one)])).unwrap();
-        assert_eq!((news.lists[0].0, news.ended_exchanges), (ListKind::Whole, vec![1]));
+        assert_eq!((news.lists[0].0, news.ended_exchanges), (ListUpdate::Whole, vec![1]));
         assert_eq!(directory.position, 2);
     }
 }
--- a/dillhold/src/engine/exchanges.rs
+++ b/dillhold/src/engine/exchanges.rs
@@ -3,7 +3,7 @@
 use std::collections::btree_map::Entry;
 use std::net::SocketAddr;
 
-use pitchgw::interface::{ExchangeId, Nanos, Standing};
+use pitchgw::interface::{ExchangeId, ExchangeState, Nanos};
 
 use super::close_reason::CloseReason;
 use super::failure_detector::FailureDetector;
@@ -76,12 +76,12 @@
 impl Engine {
     /// Brings the links in step with the list.
     pub(super) fn listed(&mut self) {
-        let home = self.calls.settings().module.home;
+        let home = self.calls.settings().module.home_exchange;
         let wanted = self.calls.directory.machines().filter(|(_, m)| Some(m.number) != home);
         let wanted: Vec<_> = wanted.map(|(id, m)| (id, m.address, m.standing)).collect();
         for (id, address, standing) in wanted {
             let link = self.links.get(&id);
-            if standing == Standing::Gone {
+            if standing == ExchangeState::Gone {
                 continue;
             }
             if link.is_some_and(|l| l.address != address) {
--- a/dillhold/src/main.rs
+++ b/dillhold/src/main.rs
@@ -31,8 +31,8 @@
     let settings = &told.module;
     println!(
         "{path}: sound: exchange {} of {}, {} classes ({}), listens on {}, {known} journal events known",
-        settings.home.map_or("-".into(), |n| n.to_string()),
-        settings.agents,
+        settings.home_exchange.map_or("-".into(), |n| n.to_string()),
+        settings.controller_count,
         told.classes.len(),
         told.classes.join(", "),
         config.listen,
--- a/dillhold/src/session/exchange.rs
+++ b/dillhold/src/session/exchange.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use pitchgw::interface::{Cause, ExchangeId, Nanos, Outcome, Report};
+use pitchgw::interface::{Cause, ExchangeId, LoadReport, Nanos, Outcome};
 
 use crate::call::{Calls, ExchangeRequest, FromExchange};
 use crate::clock::MS;
@@ -230,7 +230,7 @@
 }
 
 /// The state of the group, where it is told: `X-Group: spare:81;total:81`, with the names of the settings.
-fn report(message: &Message<'_>, calls: &Calls) -> Report {
+fn report(message: &Message<'_>, calls: &Calls) -> LoadReport {
     let text = message.header("X-Group").unwrap_or_default();
     let [free, size] = &calls.settings().report;
     let get = |name: &str| {
@@ -238,5 +238,5 @@
         let value: f64 = std::str::from_utf8(value).ok()?.parse().ok()?;
         Some(value).filter(|f| f.is_finite() && *f >= 0.0)
     };
-    Report { free: get(free), size: get(size), ..Report::default() }
+    LoadReport { free_circuits: get(free), group_size: get(size), ..LoadReport::default() }
 }
--- a/dillhold/tests/calls.rs
+++ b/dillhold/tests/calls.rs
@@ -5,7 +5,7 @@
 use common::{config, target, DESCRIPTION};
 use dillhold::call::*;
 use dillhold::directory::{read_config, read_settings, Directory};
-use pitchgw::interface::{Cause, Nanos, Outcome, Report};
+use pitchgw::interface::{Cause, LoadReport, Nanos, Outcome};
 use serde_json::json;
 
 const MS: Nanos = 1_000_000;
@@ -281,7 +281,7 @@
     run(&mut calls, START);
     calls.exchange_disconnected(START, 0, &[]);
     calls.dispatch_queued_events(START);
-    let (outcome, cause, report) = (Outcome::Failed, Cause::Untold, Report::default());
+    let (outcome, cause, report) = (Outcome::Failed, Cause::Untold, LoadReport::default());
     let ended = || FromExchange::Ended { id: 1, outcome, cause, report };
     let late = START + 100 * MS;
     calls.from_exchange(late, 0, ended());
--- a/src/bin/pitchgw-wirehost.rs
+++ b/src/bin/pitchgw-wirehost.rs
@@ -8,13 +8,13 @@
 use std::process::ExitCode;
 
 use pitchgw::interface::{Action, Nanos};
-use pitchgw::wire::{Message, Names, Pages, WireError};
+use pitchgw::wire::{Message, NameTable, Pages, WireError};
 use pitchgw::Controller;
 use serde_json::json;
 
 struct Instance {
     controller: Controller,
-    names: Names,
+    names: NameTable,
 }
 
 #[derive(Default)]
@@ -65,7 +65,7 @@
 
     fn launch(&mut self, m: &Message) -> Result<(), WireError> {
         let name = m.text(0, "i")?.to_string();
-        let (names, settings, seed) = Names::launch(m)?;
+        let (names, settings, seed) = NameTable::from_launch(m)?;
         let controller = Controller::new(settings, seed)
             .map_err(|e| fault("LAUNCH", "boot-info", &format!("sound settings ({e})")))?;
         self.stopped.remove(&name);
@@ -85,7 +85,7 @@
         let mut actions: Vec<Action> = Vec::new();
         let controller = &mut instance.controller;
         // A failure inside the module must not reach the pipe as anything but a message.
-        let handled = catch_unwind(AssertUnwindSafe(|| controller.handle(now, event, &mut actions)));
+        let handled = catch_unwind(AssertUnwindSafe(|| controller.handle_event(now, event, &mut actions)));
         if let Err(panic) = handled {
             let text = (panic.downcast_ref::<String>().map(String::as_str))
                 .or(panic.downcast_ref::<&str>().copied())
--- a/src/logic.rs
+++ b/src/controller.rs
@@ -179,7 +179,7 @@
 struct Exchange {
     number: u32,
     since: Option<Nanos>,
-    standing: Standing,
+    standing: ExchangeState,
     /// While it is cold: nothing is sent to it before.
     next: Nanos,
     /// Running share of set-ups that it fails for no cause told.
@@ -225,7 +225,7 @@
     attempt: u32,
     outcome: Outcome,
     cause: Cause,
-    settled: bool,
+    call_over: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -300,7 +300,7 @@
 impl Controller {
     /// A controller that has seen nothing yet.
     pub fn new(set: Settings, seed: u64) -> Result<Controller, SettingsError> {
-        set.check()?;
+        set.validate()?;
         let least = set.classes.iter().map(|c| c.worth).fold(f64::INFINITY, f64::min);
         let use_ = set.classes.iter().map(Class::circuit_seconds).fold(f64::INFINITY, f64::min);
         Ok(Controller {
@@ -336,14 +336,14 @@
 
     /// Goes on with other settings of the same exchange, layout and classes; bad ones change nothing.
     pub fn reconfigure(&mut self, set: Settings) {
-        if set.check().is_ok() {
+        if set.validate().is_ok() {
             self.aim = set.longest_aim();
             self.set = set;
         }
     }
 
     /// Takes in one event and adds to `actions` what follows from it.
-    pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle_event(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         let (from, due) = (actions.len(), self.due.first().map_or(now, |due| now.min(*due)));
         // Timers come at their time: an overdue one tells that this agent itself has stood still since then.
         if secs(now - due) > PAUSE {
@@ -352,23 +352,24 @@
         }
         self.due = self.due.split_off(&(now + 1));
         match event {
-            Event::List(kind, entries) => self.list(now, kind, entries, actions),
-            Event::Call(new) => self.arrive(now, new, actions),
-            Event::Stands { call, attempt, .. } => self.stands(now, call, attempt),
-            Event::Ended { call, attempt, exchange, outcome, cause, settled, report, .. } => {
+            Event::ListUpdated(kind, entries) => self.list(now, kind, entries, actions),
+            Event::CallOffered(new) => self.arrive(now, new, actions),
+            Event::CallStands { call, attempt, .. } => self.stands(now, call, attempt),
+            Event::AttemptEnded { call, attempt, exchange, outcome, cause, call_over, report, .. } => {
                 self.report(exchange, &report);
-                self.ended(now, Ending { call, attempt, outcome, cause, settled }, actions);
+                self.ended(now, Ending { call, attempt, outcome, cause, call_over }, actions);
             }
-            Event::HungUp(call) => {
+            Event::CallerHungUp(call) => {
                 self.calls.entry(call).and_modify(|c| c.over = true);
                 self.forget_if_over(call);
             }
-            Event::Timer(ASK_TOKEN) => self.ask(actions),
-            Event::Timer(call) => self.look(now, call, actions),
-            Event::Probed { exchange, report, .. } => self.report(exchange, &report),
+            Event::TimerExpired(ASK_TOKEN) => self.ask(actions),
+            Event::TimerExpired(call) => self.look(now, call, actions),
+            Event::LoadReported { exchange, report, .. } => self.report(exchange, &report),
         }
         let timers = actions[from..].iter();
-        self.due.extend(timers.filter_map(|a| if let Action::Timer(_, at) = a { Some(*at) } else { None }));
+        self.due
+            .extend(timers.filter_map(|a| if let Action::SetTimer(_, at) = a { Some(*at) } else { None }));
     }
 
     /// The clock of the predictor, which leaves the own pauses out: they are no delay of a route.
@@ -376,13 +377,13 @@
         now - self.paused
     }
 
-    fn report(&mut self, exchange: ExchangeId, report: &Report) {
+    fn report(&mut self, exchange: ExchangeId, report: &LoadReport) {
         let Some(number) = self.number(exchange) else { return };
         let group = self.groups.entry(number).or_insert(UNKNOWN);
         // What cannot be a number of circuits counts as not reported.
         let told = |f: Option<f64>, known| f.filter(|f| f.is_finite() && *f >= 0.0).unwrap_or(known);
-        group.free = told(report.free, group.free);
-        group.size = told(report.size, group.size);
+        group.free = told(report.free_circuits, group.free);
+        group.size = told(report.group_size, group.size);
     }
 
     // -----------------------------------------------------------------------------------------------------
@@ -551,10 +552,10 @@
     /// long it has to wait first.
     fn way(&mut self, now: Nanos, call: &Call) -> Option<(ExchangeId, f64, Nanos)> {
         let destination = call.new.destination;
-        let direct = self.machine(destination).filter(|_| Some(destination) != self.set.home);
-        let candidates = match self.set.shape {
-            Shape::Pools => self.pools(call),
-            Shape::Mesh => vec![direct?],
+        let direct = self.machine(destination).filter(|_| Some(destination) != self.set.home_exchange);
+        let candidates = match self.set.topology {
+            Topology::Pools => self.pools(call),
+            Topology::Mesh => vec![direct?],
         };
         let at = self.awake(now);
         let (rho, out) = (self.rho(at), self.load(at));
@@ -567,12 +568,12 @@
             if self.payoff(now + wait, call, time, 1.0, scarce, 1.0) <= 0.0 {
                 continue;
             }
-            if self.room(x, call, call.new.transit) && !call.tried.contains(&x) {
+            if self.room(x, call, call.new.in_transit) && !call.tried.contains(&x) {
                 return Some((x, time, wait));
             }
             blocked = true;
         }
-        if !blocked || call.new.transit || self.set.shape == Shape::Pools {
+        if !blocked || call.new.in_transit || self.set.topology == Topology::Pools {
             return None; // transit goes on or turns back
         }
         self.tandem(now, call, load).map(|(x, time)| (x, time, 0))
@@ -581,7 +582,7 @@
     /// Pools that may serve the call: its first choice, the advised one, then the others.
     fn pools(&self, call: &Call) -> Vec<ExchangeId> {
         let skilled = &self.set.classes[call.new.class].pools;
-        let wishes = [Some(call.new.destination), call.new.advised].into_iter().flatten();
+        let wishes = [Some(call.new.destination), call.new.advised_route].into_iter().flatten();
         let mut found = Vec::new();
         for n in wishes.chain(self.exchanges.values().map(|x| x.number)) {
             let skill = skilled.is_empty() || skilled.contains(&n);
@@ -597,10 +598,10 @@
         let groups = self.groups.values().filter(|g| g.size > 0.0);
         let count = groups.clone().count().max(1) as f64;
         let beyond = groups.map(|g| self.scarcity(*g, call.new.width)).sum::<f64>() / count;
-        let advised = call.new.advised.and_then(|n| self.machine(n));
+        let advised = call.new.advised_route.and_then(|n| self.machine(n));
         let fits = |id: ExchangeId| {
             let x = self.exchanges.get(&id)?;
-            let other = x.number != destination && Some(x.number) != self.set.home;
+            let other = x.number != destination && Some(x.number) != self.set.home_exchange;
             if !other || self.machine(x.number) != Some(id) || call.tried.contains(&id) {
                 return None;
             }
@@ -634,8 +635,9 @@
         // What a warm exchange surely bears follows from the most calls carried here. The present rate would
         // not do: it is lowest just when exchanges have failed and come back cold.
         let cold = &self.set.cold;
-        let least = cold.multiple * cold.from * WARM_SET_UPS * self.peak / f64::from(self.set.agents);
-        nanos((1.0 / least).min(secs(cold.window) * f64::from(self.set.agents)))
+        let least =
+            cold.multiple * cold.from * WARM_SET_UPS * self.peak / f64::from(self.set.controller_count);
+        nanos((1.0 / least).min(secs(cold.window) * f64::from(self.set.controller_count)))
     }
 
     /// How long a set-up to an exchange has to wait for that.
@@ -662,7 +664,7 @@
     /// that can only be late take the circuits of calls in time. Two callers of one number are taken for
     /// one; the second then only seems later than it is.
     fn first_try(&mut self, now: Nanos, new: &NewCall, persists: Nanos) -> Nanos {
-        let Some(number) = new.dialled.filter(|_| !new.cut && !new.transit) else { return now };
+        let Some(number) = new.dialled.filter(|_| !new.after_cut && !new.in_transit) else { return now };
         if self.numbers.len() >= NUMBERS_KEPT {
             self.numbers.retain(|_, n| now < n.first + persists || now < n.engaged_until);
             if self.numbers.len() >= NUMBERS_KEPT {
@@ -677,11 +679,11 @@
         n.first
     }
 
-    fn list(&mut self, now: Nanos, kind: ListKind, entries: Vec<Entry>, actions: &mut Vec<Action>) {
-        if kind == ListKind::Unavailable {
-            return actions.push(Action::Timer(ASK_TOKEN, now + nanos(ASK_AGAIN)));
+    fn list(&mut self, now: Nanos, kind: ListUpdate, entries: Vec<Entry>, actions: &mut Vec<Action>) {
+        if kind == ListUpdate::Unavailable {
+            return actions.push(Action::SetTimer(ASK_TOKEN, now + nanos(ASK_AGAIN)));
         }
-        if kind != ListKind::Changes {
+        if kind != ListUpdate::Changes {
             let named: BTreeSet<ExchangeId> = entries.iter().map(|e| e.exchange).collect();
             self.exchanges.retain(|id, _| named.contains(id));
         }
@@ -693,13 +695,13 @@
             let (next, faults) = known.map_or_else(new, |x| (x.next, x.faults));
             self.exchanges.insert(exchange, Exchange { number, since, standing, next, faults });
         }
-        self.exchanges.retain(|_, x| x.standing != Standing::Gone);
+        self.exchanges.retain(|_, x| x.standing != ExchangeState::Gone);
         // On a long day machines and numbers come and go for good.
         self.routes.retain(|key, r| self.exchanges.contains_key(&key.1) || !r.out.is_empty());
         self.destinations.retain(|_, d| secs(now - d.asked.unwrap_or(now)) < PEAK_SPAN);
         // Of several machines in service that bear a number, the one that started last.
         self.serving.clear();
-        for (id, x) in self.exchanges.iter().filter(|(_, x)| x.standing == Standing::Up) {
+        for (id, x) in self.exchanges.iter().filter(|(_, x)| x.standing == ExchangeState::Up) {
             let serving = self.serving.entry(x.number).or_insert(*id);
             if self.exchanges[serving].since <= x.since {
                 *serving = *id;
@@ -726,7 +728,7 @@
         let Some(class) = self.set.classes.get(new.class) else {
             return actions.push(Action::Fail(id));
         };
-        if !new.transit {
+        if !new.in_transit {
             self.mean_worth += MEAN_GAIN * (class.worth - self.mean_worth);
             self.mean_use += MEAN_GAIN * (class.circuit_seconds() - self.mean_use);
         }
@@ -752,11 +754,11 @@
             may_have_run: false,
             tried: Vec::new(),
         };
-        actions.push(Action::Timer(id, answer_by));
+        actions.push(Action::SetTimer(id, answer_by));
         self.calls.insert(id, call);
         if now == self.woke {
             // Found with all that came during a pause, news behind it included: decided after these.
-            return actions.push(Action::Timer(id, now));
+            return actions.push(Action::SetTimer(id, now));
         }
         self.look(now, id, actions);
     }
@@ -766,7 +768,7 @@
         let Some(call) = self.calls.get(&id).filter(|c| !c.over && !c.stands) else { return };
         if now >= call.answer_by {
             if let (Some(out), true) = (call.out, self.set.may_cancel) {
-                actions.push(Action::CallOff { call: id, attempt: out.number });
+                actions.push(Action::CancelAttempt { call: id, attempt: out.number });
             }
             return self.answer(now, id, false, actions);
         }
@@ -774,13 +776,13 @@
             return;
         }
         if now < call.not_before {
-            return actions.push(Action::Timer(id, call.not_before));
+            return actions.push(Action::SetTimer(id, call.not_before));
         }
         let sendable = call.attempts < self.set.max_attempts && !self.crowded(now, call.new.dialled);
         let call = call.clone();
         match if sendable { self.way(now, &call) } else { None } {
             Some((exchange, time, 0)) => self.send(now, id, exchange, time, actions),
-            Some((_, _, wait)) => actions.push(Action::Timer(id, now + wait)),
+            Some((_, _, wait)) => actions.push(Action::SetTimer(id, now + wait)),
             None => self.answer(now, id, true, actions),
         }
     }
@@ -788,7 +790,7 @@
     fn send(&mut self, now: Nanos, id: CallId, to: ExchangeId, time: f64, actions: &mut Vec<Action>) {
         let number = self.number(to);
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let advised = usize::from(call.new.advised.is_some() && call.new.advised == number);
+        let advised = usize::from(call.new.advised_route.is_some() && call.new.advised_route == number);
         let timeout = call.answer_by - now;
         let attempt = call.attempts;
         call.attempts += 1;
@@ -806,7 +808,7 @@
         if let Some(call) = self.calls.get_mut(&id) {
             call.out = Some(Attempt { number: attempt, exchange: to, sent: at, predicted, load, advised });
         }
-        actions.push(Action::Send { call: id, exchange: to, timeout });
+        actions.push(Action::SendSetUp { call: id, exchange: to, timeout });
     }
 
     fn forget_set_up(&mut self, key: RouteKey, id: CallId, sent: Nanos) {
@@ -825,9 +827,13 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.over = true;
         let aims = PAUSE_AIMS[usize::from(now >= call.aim_at)];
-        let pause = nanos(aims * self.aim).min(self.set.max_pause.unwrap_or(0));
+        let pause = nanos(aims * self.aim).min(self.set.max_retry_after.unwrap_or(0));
         let safe = self.set.classes[call.new.class].repeatable || !(call.may_have_run || call.out.is_some());
-        actions.push(if refuse && safe { Action::Refuse { call: id, pause } } else { Action::Fail(id) });
+        actions.push(if refuse && safe {
+            Action::Refuse { call: id, retry_after: pause }
+        } else {
+            Action::Fail(id)
+        });
         self.forget_if_over(id);
     }
 
@@ -874,17 +880,17 @@
     }
 
     fn ended(&mut self, now: Nanos, ending: Ending, actions: &mut Vec<Action>) {
-        let Ending { call: id, attempt, outcome, cause, settled } = ending;
+        let Ending { call: id, attempt, outcome, cause, call_over } = ending;
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(out) = call.out.filter(|o| o.number == attempt) else { return };
         call.out = None;
-        call.over |= settled;
+        call.over |= call_over;
         let (destination, dialled, stood) = (call.new.destination, call.new.dialled, call.stands);
         let (aim, width) = (secs(self.set.classes[call.new.class].aim), f64::from(call.new.width));
         let never_ran = matches!(outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent);
         call.may_have_run |= !never_ran;
         if matches!(outcome, Outcome::TimedOut | Outcome::Cut | Outcome::CalledOff) {
-            call.not_before = now + self.set.release;
+            call.not_before = now + self.set.release_wait;
         }
         let key = (destination, out.exchange);
         self.forget_set_up(key, id, out.sent);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! The types between the decision module ([`crate::logic`]) and whatever embeds it.
+//! The types between the decision module ([`crate::controller`]) and whatever embeds it.
 //!
 //! Times are nanoseconds on one clock that only advances. Exchanges and calls are known by numbers that the
 //! embedder gives out; the module reads nothing into them beyond equality and order.
@@ -26,7 +26,7 @@
 
 /// How the network is laid out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum Topology {
     /// Exchanges joined in pairs by trunk groups; calls may pass through one tandem.
     Mesh,
     /// Pools of agents shared by all call agents; no call is in transit.
@@ -89,13 +89,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many call agents there are.
-    pub agents: u32,
+    pub controller_count: u32,
     /// Number of this agent among them, from 0.
-    pub own_number: u32,
+    pub controller_index: u32,
     /// Number of the own exchange, where there is one.
-    pub home: Option<u32>,
+    pub home_exchange: Option<u32>,
     /// Layout of the network.
-    pub shape: Shape,
+    pub topology: Topology,
     /// Index of the own zone.
     pub zone: u32,
     /// The classes of call.
@@ -109,13 +109,13 @@
     /// Whether an attempt may be called off.
     pub may_cancel: bool,
     /// The longest pause that a caller can be asked to keep after a refusal, if any.
-    pub max_pause: Option<Nanos>,
+    pub max_retry_after: Option<Nanos>,
     /// Whether the list of exchanges comes only when asked for.
     pub list_on_request: bool,
     /// An agent that has not asked for this long counts as told of the list as it stood that long ago.
     pub ask_within: Nanos,
     /// After an attempt timed out, was cut or called off, what it held may stay taken for this long.
-    pub release: Nanos,
+    pub release_wait: Nanos,
     /// A waiting set-up is repeated after this time and then at doubling gaps (0: never).
     pub resend: Nanos,
     /// New work to a draining or gone exchange must stop within this time of the news.
@@ -139,7 +139,7 @@
     }
 
     /// Whether the settings make sense.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
@@ -154,10 +154,13 @@
                 return Err(SettingsError::BadWorth(i));
             }
         }
-        if self.own_number >= self.agents {
-            return Err(SettingsError::OwnNumber { own: self.own_number, agents: self.agents });
+        if self.controller_index >= self.controller_count {
+            return Err(SettingsError::OwnNumber {
+                own: self.controller_index,
+                agents: self.controller_count,
+            });
         }
-        if self.shape == Shape::Mesh && self.home.is_none() {
+        if self.topology == Topology::Mesh && self.home_exchange.is_none() {
             return Err(SettingsError::NoHome);
         }
         if self.max_attempts == 0 {
@@ -209,7 +212,7 @@
 
 /// What discovery says of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ExchangeState {
     /// In service.
     Up,
     /// Finishing what it has; nothing new may be sent.
@@ -230,12 +233,12 @@
     /// When it last started; `None` means long ago.
     pub since: Option<Nanos>,
     /// Its state.
-    pub standing: Standing,
+    pub standing: ExchangeState,
 }
 
 /// What a list event is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdate {
     /// Changed entries only.
     Changes,
     /// The whole list; who is not on it is gone.
@@ -248,11 +251,11 @@
 
 /// A report on the trunk group towards an exchange (or a pool) and on its processor. Anything may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Free circuits of the group (free agents of a pool).
-    pub free: Option<f64>,
+    pub free_circuits: Option<f64>,
     /// Size of the group.
-    pub size: Option<f64>,
+    pub group_size: Option<f64>,
     /// Share of the processor that is busy.
     pub busy: Option<f64>,
     /// Messages waiting at the processor.
@@ -321,31 +324,31 @@
     /// Circuits it seizes on each group.
     pub width: u32,
     /// The tandem or pool that had most room at the centre's last look.
-    pub advised: Option<u32>,
+    pub advised_route: Option<u32>,
     /// Whether it is in transit here.
-    pub transit: bool,
+    pub in_transit: bool,
     /// Whether it was cut and comes again.
-    pub cut: bool,
+    pub after_cut: bool,
 }
 
 /// What an instance is told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of exchanges.
-    List(ListKind, Vec<Entry>),
+    ListUpdated(ListUpdate, Vec<Entry>),
     /// A call to decide.
-    Call(NewCall),
+    CallOffered(NewCall),
     /// An attempt's call stands.
-    Stands {
+    CallStands {
         /// The call.
         call: CallId,
         /// Number of the attempt, from 0.
         attempt: u32,
         /// Time since it was sent.
-        took: Nanos,
+        elapsed: Nanos,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The call.
         call: CallId,
         /// Number of the attempt, from 0.
@@ -357,26 +360,26 @@
         /// Why, where it is told.
         cause: Cause,
         /// Time since it was sent.
-        took: Nanos,
+        elapsed: Nanos,
         /// Whether the call is over with this, or was before.
-        settled: bool,
+        call_over: bool,
         /// The report that came with it.
-        report: Report,
+        report: LoadReport,
     },
     /// The caller has left, or the answer is overdue.
-    HungUp(CallId),
+    CallerHungUp(CallId),
     /// A timer that the module asked for.
-    Timer(u64),
-    /// An answer to a probe, or (with `took` zero) unasked news of free circuits.
-    Probed {
+    TimerExpired(u64),
+    /// An answer to a probe, or (with `elapsed` zero) unasked news of free circuits.
+    LoadReported {
         /// The exchange.
         exchange: ExchangeId,
         /// Whether it answered.
         answered: bool,
         /// Time since the probe was sent.
-        took: Nanos,
+        elapsed: Nanos,
         /// The report.
-        report: Report,
+        report: LoadReport,
     },
 }
 
@@ -384,7 +387,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start a set-up towards an exchange, to end within `timeout`.
-    Send {
+    SendSetUp {
         /// The call.
         call: CallId,
         /// Where to.
@@ -393,7 +396,7 @@
         timeout: Nanos,
     },
     /// Call off an attempt.
-    CallOff {
+    CancelAttempt {
         /// The call.
         call: CallId,
         /// Number of the attempt.
@@ -404,12 +407,12 @@
         /// The call.
         call: CallId,
         /// The pause.
-        pause: Nanos,
+        retry_after: Nanos,
     },
     /// Final answer: failed.
     Fail(CallId),
-    /// Ask for an [`Event::Timer`] with this token at this time.
-    Timer(u64, Nanos),
+    /// Ask for an [`Event::TimerExpired`] with this token at this time.
+    SetTimer(u64, Nanos),
     /// Ask an exchange how it is.
     Probe(ExchangeId),
     /// Ask for changes of the list from now on.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
+pub mod controller;
 pub mod interface;
-pub mod logic;
 pub mod wire;
 
-pub use logic::Controller;
+pub use controller::Controller;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -220,7 +220,7 @@
 
 /// The names of one instance: what the wire calls things and what the module calls them.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     grades: Vec<String>,
     zones: Vec<String>,
     exchanges: BTreeMap<String, ExchangeId>,
@@ -235,25 +235,29 @@
 /// How many dialled numbers keep their handle; past that the table starts anew (a handle is never reused).
 const NUMBERS_KEPT: usize = 100_000;
 
-impl Names {
+impl NameTable {
     /// Reads the settings of a `LAUNCH` and starts the names of that instance.
-    pub fn launch(m: &Message) -> Result<(Names, Settings, u64), WireError> {
+    pub fn from_launch(m: &Message) -> Result<(NameTable, Settings, u64), WireError> {
         let seed = m.whole(1, "seed")?;
         m.table(2, "boot-info")?;
         let info = BootInfo::deserialize(without_nulls(m.at(2)))
             .map_err(|e| error(&m.name, "boot-info", e.to_string()))?;
         let family = info.family_info;
-        let names = Names {
+        let names = NameTable {
             grades: info.grades.iter().map(|g| g.name.clone()).collect(),
             zones: info.dcs,
-            ..Names::default()
+            ..NameTable::default()
         };
         let pick = |key: &str| info.charges.get(key).and_then(as_number).unwrap_or(0.0);
         let settings = Settings {
-            agents: info.instances,
-            own_number: info.my_number,
-            home: family.home_no.and_then(|n| u32::try_from(n).ok()),
-            shape: if family.shape.as_deref() == Some("groups") { Shape::Pools } else { Shape::Mesh },
+            controller_count: info.instances,
+            controller_index: info.my_number,
+            home_exchange: family.home_no.and_then(|n| u32::try_from(n).ok()),
+            topology: if family.shape.as_deref() == Some("groups") {
+                Topology::Pools
+            } else {
+                Topology::Mesh
+            },
             zone: names.zone(info.az.as_deref()),
             classes: (info.grades.iter().enumerate())
                 .map(|(i, g)| Class {
@@ -275,10 +279,10 @@
             max_attempts: info.permissions.attempts_cap.unwrap_or(1),
             may_probe: info.permissions.may_probe,
             may_cancel: info.permissions.cancel,
-            max_pause: Some(info.permissions.max_retry_after).filter(|_| info.permissions.retry_after),
+            max_retry_after: Some(info.permissions.max_retry_after).filter(|_| info.permissions.retry_after),
             list_on_request: info.registry_mode.as_deref() == Some("on_request"),
             ask_within: info.rules.ask_within,
-            release: family.release,
+            release_wait: family.release,
             resend: family.resend,
             drain_grace: info.rules.drain_grace,
             answer_slack: info.rules.answer_slack,
@@ -336,11 +340,11 @@
     pub fn event(&mut self, m: &Message, pages: &Pages) -> Result<Option<Event>, WireError> {
         Ok(match m.name.as_str() {
             "MEMBERS" => self.list(m, pages)?,
-            "KNOCK" => Some(Event::Call(self.knock(m)?)),
+            "KNOCK" => Some(Event::CallOffered(self.knock(m)?)),
             "ESTABLISHED" => {
                 let (id, attempt) = (m.text(1, "op-id")?, m.whole(2, "send-no")? as u32);
-                let took = m.whole(4, "wait-time")?;
-                self.calls.get(id).map(|c| Event::Stands { call: c.handle, attempt, took })
+                let elapsed = m.whole(4, "wait-time")?;
+                self.calls.get(id).map(|c| Event::CallStands { call: c.handle, attempt, elapsed })
             }
             "DONE" => self.done(m)?,
             "HANGUP" => {
@@ -350,17 +354,19 @@
                     c.handle
                 });
                 self.forget_if_over(id);
-                handle.map(Event::HungUp)
+                handle.map(Event::CallerHungUp)
             }
             "BELL" => {
                 let token = m.text(1, "cookie")?;
-                Some(Event::Timer(token.parse().map_err(|_| error(&m.name, "cookie", "a token set here"))?))
+                Some(Event::TimerExpired(
+                    token.parse().map_err(|_| error(&m.name, "cookie", "a token set here"))?,
+                ))
             }
             "CHECK_RESULT" => {
                 let exchange = self.exchange(m.text(1, "exchange")?);
                 let answered = m.text(2, "result")? == "success";
-                let took = m.maybe(3, "wait-time", "a whole number, 0 or above", as_whole)?.unwrap_or(0);
-                Some(Event::Probed { exchange, answered, took, report: report(m, 4)? })
+                let elapsed = m.maybe(3, "wait-time", "a whole number, 0 or above", as_whole)?.unwrap_or(0);
+                Some(Event::LoadReported { exchange, answered, elapsed, report: report(m, 4)? })
             }
             "INBOX" => None,
             _ => return Err(error(&m.name, "name", "an event of the protocol")),
@@ -369,10 +375,10 @@
 
     fn list(&mut self, m: &Message, pages: &Pages) -> Result<Option<Event>, WireError> {
         let kind = match m.text(1, "mode")? {
-            "update" => ListKind::Changes,
-            "replace" => ListKind::Whole,
-            "restored" => ListKind::Restored,
-            "unavailable" => return Ok(Some(Event::List(ListKind::Unavailable, Vec::new()))),
+            "update" => ListUpdate::Changes,
+            "replace" => ListUpdate::Whole,
+            "restored" => ListUpdate::Restored,
+            "unavailable" => return Ok(Some(Event::ListUpdated(ListUpdate::Unavailable, Vec::new()))),
             _ => return Err(error(&m.name, "mode", "update, replace, restored or unavailable")),
         };
         let slot = m.whole(3, "slot")?;
@@ -386,7 +392,7 @@
                 standing: e.standing,
             })
             .collect();
-        Ok(Some(Event::List(kind, entries)))
+        Ok(Some(Event::ListUpdated(kind, entries)))
     }
 
     fn knock(&mut self, m: &Message) -> Result<NewCall, WireError> {
@@ -414,9 +420,9 @@
             deadline,
             destination,
             width,
-            advised: advised.filter(|a| *a >= 0.0).map(|a| a as u32),
-            transit: bits & 8 != 0,
-            cut: bits & 16 != 0,
+            advised_route: advised.filter(|a| *a >= 0.0).map(|a| a as u32),
+            in_transit: bits & 8 != 0,
+            after_cut: bits & 16 != 0,
         })
     }
 
@@ -434,8 +440,8 @@
             "void" => Outcome::NotSent,
             _ => return Err(error(&m.name, "result", "an ending of the protocol")),
         };
-        let took = m.maybe(5, "wait-time", "a whole number, 0 or above", as_whole)?.unwrap_or(0);
-        let settled = m.truth(6, "settled")?;
+        let elapsed = m.maybe(5, "wait-time", "a whole number, 0 or above", as_whole)?.unwrap_or(0);
+        let call_over = m.truth(6, "settled")?;
         let code = m.maybe(7, "clear-code", "a whole number, 0 or above", as_whole)?.unwrap_or(0);
         let cause = match (code % 16, code / 16) {
             (1, _) => Cause::NoCircuit,
@@ -449,29 +455,40 @@
         let report = report(m, 8)?;
         let handle = self.calls.get_mut(id).map(|c| {
             c.out = c.out.saturating_sub(1);
-            c.open &= !settled;
+            c.open &= !call_over;
             c.handle
         });
         self.forget_if_over(id);
-        Ok(handle.map(|call| Event::Ended { call, attempt, exchange, outcome, cause, took, settled, report }))
+        Ok(handle.map(|call| Event::AttemptEnded {
+            call,
+            attempt,
+            exchange,
+            outcome,
+            cause,
+            elapsed,
+            call_over,
+            report,
+        }))
     }
 
     /// Writes an action of this instance as a line. `None`: it speaks of a call that is over.
     pub fn action(&mut self, instance: &str, action: &Action) -> Option<String> {
         let value = match action {
-            Action::Send { call, exchange, timeout } => {
+            Action::SendSetUp { call, exchange, timeout } => {
                 let id = self.call_ids.get(call)?;
                 let c = self.calls.get_mut(id)?;
                 c.sends += 1;
                 c.out += 1;
                 json!(["SEND", instance, id, self.exchange_names.get(*exchange as usize)?, timeout])
             }
-            Action::CallOff { call, attempt } => {
+            Action::CancelAttempt { call, attempt } => {
                 json!(["RETRACT", instance, self.call_ids.get(call)?, attempt])
             }
-            Action::Refuse { call, pause } => json!(["DECLINE", instance, self.answered(*call)?, pause]),
+            Action::Refuse { call, retry_after } => {
+                json!(["DECLINE", instance, self.answered(*call)?, retry_after])
+            }
             Action::Fail(call) => json!(["LOSE", instance, self.answered(*call)?]),
-            Action::Timer(token, at) => json!(["AFTER", instance, token.to_string(), at]),
+            Action::SetTimer(token, at) => json!(["AFTER", instance, token.to_string(), at]),
             Action::Probe(exchange) => {
                 json!(["TOUCH", instance, self.exchange_names.get(*exchange as usize)?])
             }
@@ -490,13 +507,13 @@
     }
 }
 
-fn report(m: &Message, i: usize) -> Result<Report, WireError> {
-    let Some(table) = m.table(i, "usage")? else { return Ok(Report::default()) };
+fn report(m: &Message, i: usize) -> Result<LoadReport, WireError> {
+    let Some(table) = m.table(i, "usage")? else { return Ok(LoadReport::default()) };
     // Absent, negative and non-finite values all count as not reported.
     let get = |name: &str| table.get(name).and_then(as_number).filter(|f| *f >= 0.0);
-    Ok(Report {
-        free: get("spare"),
-        size: get("total"),
+    Ok(LoadReport {
+        free_circuits: get("spare"),
+        group_size: get("total"),
         busy: get("load_share"),
         queue: get("depth"),
         wait_ms: get("mean_ms"),
@@ -511,7 +528,7 @@
     exchange: String,
     since: Option<Nanos>,
     zone: Option<String>,
-    standing: Standing,
+    standing: ExchangeState,
     number: u32,
 }
 
@@ -536,9 +553,9 @@
                 since: e.maybe(1, "online-since", "a clock time", as_whole)?.filter(|t| *t > 0),
                 zone: e.maybe(2, "dc", "a text", |v| v.as_str().map(String::from))?,
                 standing: match e.text(3, "lifecycle")? {
-                    "IN" => Standing::Up,
-                    "LAME" => Standing::Draining,
-                    "OUT" => Standing::Gone,
+                    "IN" => ExchangeState::Up,
+                    "LAME" => ExchangeState::Draining,
+                    "OUT" => ExchangeState::Gone,
                     _ => return Err(error(&m.name, "lifecycle", "IN, LAME or OUT")),
                 },
                 number: e.maybe(6, "place-no", "a number", number)?.unwrap_or(u32::MAX),
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Stdio};
 
 use pitchgw::interface::*;
-use pitchgw::wire::{Message, Names, Pages};
+use pitchgw::wire::{Message, NameTable, Pages};
 
 const BOOT: &str = r#"{"az":"north","dcs":["north","south"],"charges":{"late-fail":0.05},"family-info":
 {"circuits-by-class":[1,4],"class-cells":[],"home-no":0,"mean-hold":[10000000000,null],"release":300000000,
@@ -18,8 +18,8 @@
     format!("[\"LAUNCH\",\"agent/0\",42,{}]", BOOT.replace('\n', ""))
 }
 
-fn names() -> (Names, Settings) {
-    let (names, settings, seed) = Names::launch(&Message::parse(&launch_line()).unwrap()).unwrap();
+fn names() -> (NameTable, Settings) {
+    let (names, settings, seed) = NameTable::from_launch(&Message::parse(&launch_line()).unwrap()).unwrap();
     assert_eq!(seed, 42);
     (names, settings)
 }
@@ -31,7 +31,7 @@
     pages
 }
 
-fn read(names: &mut Names, line: &str) -> Option<Event> {
+fn read(names: &mut NameTable, line: &str) -> Option<Event> {
     names.event(&Message::parse(line).unwrap(), &pages()).unwrap()
 }
 
@@ -40,7 +40,7 @@
 #[test]
 fn settings_are_read_and_unknown_keys_ignored() {
     let (_, s) = names();
-    assert_eq!((s.agents, s.home, s.shape, s.zone), (3, Some(0), Shape::Mesh, 0));
+    assert_eq!((s.controller_count, s.home_exchange, s.topology, s.zone), (3, Some(0), Topology::Mesh, 0));
     assert_eq!((s.classes[1].width, s.classes[1].hold, s.classes[0].worth), (4, 0, 1.0));
     assert!(s.may_cancel && !s.may_probe && s.classes[0].repeatable);
 }
@@ -48,23 +48,29 @@
 #[test]
 fn events_are_read_with_their_handles() {
     let (mut names, _) = names();
-    let Some(Event::List(ListKind::Restored, entries)) =
+    let Some(Event::ListUpdated(ListUpdate::Restored, entries)) =
         read(&mut names, r#"["MEMBERS","agent/0","restored",1,3]"#)
     else {
         panic!("a list")
     };
-    assert_eq!((entries[1].since, entries[1].standing, entries[1].zone), (Some(77), Standing::Draining, 1));
-    let Some(Event::Call(call)) = read(&mut names, KNOCK) else { panic!("a call") };
-    assert_eq!((call.class, call.width, call.advised, call.transit, call.cut), (1, 4, None, true, true));
-    let send = Action::Send { call: call.call, exchange: entries[1].exchange, timeout: 80 };
+    assert_eq!(
+        (entries[1].since, entries[1].standing, entries[1].zone),
+        (Some(77), ExchangeState::Draining, 1)
+    );
+    let Some(Event::CallOffered(call)) = read(&mut names, KNOCK) else { panic!("a call") };
+    assert_eq!(
+        (call.class, call.width, call.advised_route, call.in_transit, call.after_cut),
+        (1, 4, None, true, true)
+    );
+    let send = Action::SendSetUp { call: call.call, exchange: entries[1].exchange, timeout: 80 };
     assert_eq!(names.action("agent/0", &send).unwrap(), r#"["SEND","agent/0","id-1","h:2",80]"#);
     let done = r#"["DONE","agent/0","id-1",0,"h:2","overloaded",18,false,18,{"spare":-1,"total":9,"new":1}]"#;
-    let Some(Event::Ended { cause, outcome, report, settled, .. }) = read(&mut names, done) else {
+    let Some(Event::AttemptEnded { cause, outcome, report, call_over, .. }) = read(&mut names, done) else {
         panic!("an end")
     };
-    assert_eq!((outcome, cause, settled), (Outcome::Rejected, Cause::FullBeyond, false));
-    assert_eq!((report.free, report.size, report.busy), (None, Some(9.0), None));
-    let refuse = Action::Refuse { call: call.call, pause: 0 };
+    assert_eq!((outcome, cause, call_over), (Outcome::Rejected, Cause::FullBeyond, false));
+    assert_eq!((report.free_circuits, report.group_size, report.busy), (None, Some(9.0), None));
+    let refuse = Action::Refuse { call: call.call, retry_after: 0 };
     assert_eq!(names.action("agent/0", &refuse).unwrap(), r#"["DECLINE","agent/0","id-1",0]"#);
     assert_eq!(read(&mut names, r#"["HANGUP","agent/0","id-1"]"#), None, "it is over here already");
     assert_eq!(names.action("agent/0", &refuse), None);
@@ -75,7 +81,7 @@
     let (mut names, _) = names();
     read(&mut names, KNOCK);
     let done = r#"["DONE","agent/0","id-1",0,"h:2","overloaded",18,false,4003,null]"#;
-    let Some(Event::Ended { cause, .. }) = read(&mut names, done) else { panic!("an end") };
+    let Some(Event::AttemptEnded { cause, .. }) = read(&mut names, done) else { panic!("an end") };
     assert_eq!(cause, Cause::ProcessorFull(Some(250_000_000)));
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,20 +25,20 @@
 /// Four agents in a mesh; this one is exchange 0.
 pub fn settings() -> Settings {
     Settings {
-        agents: 4,
-        own_number: 0,
-        home: Some(0),
-        shape: Shape::Mesh,
+        controller_count: 4,
+        controller_index: 0,
+        home_exchange: Some(0),
+        topology: Topology::Mesh,
         zone: 0,
         classes: vec![class(2 * SEC, 1.0), class(SEC, 8.0)],
         reports: Reports::None,
         max_attempts: 4,
         may_probe: false,
         may_cancel: true,
-        max_pause: None,
+        max_retry_after: None,
         list_on_request: false,
         ask_within: 10 * SEC,
-        release: 300 * MS,
+        release_wait: 300 * MS,
         resend: 0,
         drain_grace: SEC,
         answer_slack: 20 * MS,
@@ -73,7 +73,7 @@
             sent: Vec::new(),
         };
         let entries = (0..4).map(up).collect();
-        rig.tell(Event::List(ListKind::Restored, entries));
+        rig.tell(Event::ListUpdated(ListUpdate::Restored, entries));
         for x in 1..4 {
             rig.circuits(x, 20.0, 20.0);
         }
@@ -82,14 +82,14 @@
 
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.controller.handle(self.now, event, &mut actions);
+        self.controller.handle_event(self.now, event, &mut actions);
         self.timers.extend(actions.iter().filter_map(|a| match a {
-            Action::Timer(token, at) => Some((*at, *token)),
+            Action::SetTimer(token, at) => Some((*at, *token)),
             _ => None,
         }));
         let now = self.now;
         self.sent.extend(actions.iter().filter_map(|a| match a {
-            Action::Send { call, exchange, .. } => Some((now, *call, *exchange)),
+            Action::SendSetUp { call, exchange, .. } => Some((now, *call, *exchange)),
             _ => None,
         }));
         actions
@@ -101,7 +101,7 @@
         while let Some(timer) = self.timers.first().copied().filter(|t| t.0 < until) {
             self.timers.remove(&timer);
             self.now = self.now.max(timer.0);
-            self.tell(Event::Timer(timer.1));
+            self.tell(Event::TimerExpired(timer.1));
         }
         self.now = until;
     }
@@ -112,8 +112,9 @@
     }
 
     pub fn circuits(&mut self, exchange: ExchangeId, free: f64, size: f64) -> Vec<Action> {
-        let report = Report { free: Some(free), size: Some(size), ..Report::default() };
-        self.tell(Event::Probed { exchange, answered: true, took: 0, report })
+        let report =
+            LoadReport { free_circuits: Some(free), group_size: Some(size), ..LoadReport::default() };
+        self.tell(Event::LoadReported { exchange, answered: true, elapsed: 0, report })
     }
 
     pub fn fresh(&mut self, destination: u32) -> NewCall {
@@ -125,14 +126,14 @@
             deadline: self.now + 3 * SEC,
             destination,
             width: 1,
-            advised: None,
-            transit: false,
-            cut: false,
+            advised_route: None,
+            in_transit: false,
+            after_cut: false,
         }
     }
 
     pub fn offer(&mut self, call: NewCall) -> Vec<Action> {
-        self.tell(Event::Call(call))
+        self.tell(Event::CallOffered(call))
     }
 
     /// A call to `destination` in class 0.
@@ -142,7 +143,7 @@
     }
 
     pub fn stands(&mut self, call: CallId, attempt: u32, took: Nanos) -> Vec<Action> {
-        self.tell(Event::Stands { call, attempt, took })
+        self.tell(Event::CallStands { call, attempt, elapsed: took })
     }
 
     pub fn ended(
@@ -152,15 +153,15 @@
         to: ExchangeId,
         how: (Outcome, Cause),
     ) -> Vec<Action> {
-        self.tell(Event::Ended {
+        self.tell(Event::AttemptEnded {
             call,
             attempt,
             exchange: to,
             outcome: how.0,
             cause: how.1,
-            took: 100 * MS,
-            settled: how.0 == Outcome::Completed,
-            report: Report::default(),
+            elapsed: 100 * MS,
+            call_over: how.0 == Outcome::Completed,
+            report: LoadReport::default(),
         })
     }
 
@@ -181,12 +182,12 @@
 }
 
 pub fn up(number: u32) -> Entry {
-    Entry { exchange: number, number, zone: 0, since: None, standing: Standing::Up }
+    Entry { exchange: number, number, zone: 0, since: None, standing: ExchangeState::Up }
 }
 
 pub fn sent_to(actions: &[Action]) -> Option<ExchangeId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { exchange, .. } => Some(*exchange),
+        Action::SendSetUp { exchange, .. } => Some(*exchange),
         _ => None,
     })
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -48,8 +48,8 @@
             let mut s = settings();
             s.classes[1].repeatable = max_attempts % 2 == 0;
             if pools {
-                s.shape = Shape::Pools;
-                s.home = None;
+                s.topology = Topology::Pools;
+                s.home_exchange = None;
                 s.classes[1].pools = vec![1, 2];
             }
             s.may_probe = probe;
@@ -57,7 +57,7 @@
             s.list_on_request = ask;
             s.reports = [Reports::Answers, Reports::Probes, Reports::None][reports];
             s.max_attempts = max_attempts;
-            s.agents = [1, 4, 200][max_attempts as usize % 3];
+            s.controller_count = [1, 4, 200][max_attempts as usize % 3];
             s.resend = resend;
             s
         },
@@ -105,23 +105,23 @@
             listed: BTreeMap::new(),
             log: Vec::new(),
         };
-        w.list(ListKind::Restored, (0..4).map(up).collect());
+        w.list(ListUpdate::Restored, (0..4).map(up).collect());
         w
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        if kind != ListKind::Changes {
-            self.listed.values_mut().for_each(|e| e.standing = Standing::Gone);
+    fn list(&mut self, kind: ListUpdate, entries: Vec<Entry>) {
+        if kind != ListUpdate::Changes {
+            self.listed.values_mut().for_each(|e| e.standing = ExchangeState::Gone);
         }
         for e in &entries {
             self.listed.insert(e.exchange, e.clone());
         }
-        self.tell(Event::List(kind, entries));
+        self.tell(Event::ListUpdated(kind, entries));
     }
 
     fn tell(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.controller.handle(self.now, event, &mut actions);
+        self.controller.handle_event(self.now, event, &mut actions);
         for a in actions {
             self.log.push(format!("{} {a:?}", self.now));
             self.judge(a);
@@ -130,13 +130,13 @@
 
     fn judge(&mut self, action: Action) {
         match action {
-            Action::Timer(token, at) => {
+            Action::SetTimer(token, at) => {
                 self.timer_no += 1;
                 self.timers.insert((at.max(self.now + self.set.tick), self.timer_no), token);
             }
-            Action::Send { call, exchange, timeout } => {
+            Action::SendSetUp { call, exchange, timeout } => {
                 let entry = self.listed.get(&exchange).expect("a listed exchange");
-                assert_eq!(entry.standing, Standing::Up, "rule 3: sent to one that drains or is gone");
+                assert_eq!(entry.standing, ExchangeState::Up, "rule 3: sent to one that drains or is gone");
                 let c = self.calls.get_mut(&call).expect("a call of this instance");
                 assert!(!c.answered, "rule 1: sent after its end");
                 assert!(c.out.is_none(), "rule 2: two attempts out");
@@ -144,10 +144,10 @@
                 assert!(c.attempts < self.set.max_attempts, "attempts within the cap");
                 assert!(timeout > 0, "a time-out");
                 assert!(!c.ran || self.set.classes[c.new.class].repeatable, "may have run already");
-                if self.set.shape == Shape::Mesh {
-                    assert_ne!(Some(entry.number), self.set.home, "sent to the own exchange");
+                if self.set.topology == Topology::Mesh {
+                    assert_ne!(Some(entry.number), self.set.home_exchange, "sent to the own exchange");
                     assert!(
-                        !c.new.transit || entry.number == c.new.destination,
+                        !c.new.in_transit || entry.number == c.new.destination,
                         "transit beyond its destination"
                     );
                 } else {
@@ -173,7 +173,7 @@
                 );
                 c.answered = true;
             }
-            Action::CallOff { .. } => assert!(self.set.may_cancel),
+            Action::CancelAttempt { .. } => assert!(self.set.may_cancel),
             Action::Probe(_) => assert!(self.set.may_probe),
             Action::Subscribe | Action::FetchList | Action::Note(_) => {}
         }
@@ -189,7 +189,7 @@
             self.now = self.now.max(at);
             if let Some(k) = self.timers.keys().next().copied().filter(|k| k.0 <= at) {
                 let token = self.timers.remove(&k).unwrap();
-                self.tell(Event::Timer(token));
+                self.tell(Event::TimerExpired(token));
                 continue;
             }
             let due = |c: &Held| c.out.as_ref().is_some_and(|o| !o.stands && o.until <= at);
@@ -208,16 +208,25 @@
     fn end(&mut self, id: CallId, outcome: Outcome, cause: Cause) {
         let c = self.calls.get_mut(&id).unwrap();
         let Some(out) = c.out.take() else { return };
-        let settled = c.answered || outcome == Outcome::Completed || out.stands;
-        c.answered |= settled;
+        let call_over = c.answered || outcome == Outcome::Completed || out.stands;
+        c.answered |= call_over;
         if matches!(outcome, Outcome::TimedOut | Outcome::Cut | Outcome::CalledOff) {
-            c.released = self.now + self.set.release;
+            c.released = self.now + self.set.release_wait;
         }
         c.ran |= !matches!(outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent);
         let (attempt, exchange) = (out.attempt, out.exchange);
-        let report = Report::default();
-        let took = 50 * MS;
-        self.tell(Event::Ended { call: id, attempt, exchange, outcome, cause, took, settled, report });
+        let report = LoadReport::default();
+        let elapsed = 50 * MS;
+        self.tell(Event::AttemptEnded {
+            call: id,
+            attempt,
+            exchange,
+            outcome,
+            cause,
+            elapsed,
+            call_over,
+            report,
+        });
     }
 
     fn step(&mut self, step: Step) {
@@ -225,7 +234,7 @@
             Step::Wait(ms) => self.pass(self.now + ms * MS),
             Step::Dial { class, destination, advised, transit, number, life } => {
                 let call = self.calls.len() as u64;
-                let mesh = self.set.shape == Shape::Mesh;
+                let mesh = self.set.topology == Topology::Mesh;
                 let new = NewCall {
                     call,
                     class,
@@ -233,9 +242,9 @@
                     deadline: self.now + life * MS,
                     destination: if mesh { 1 + destination % 4 } else { destination },
                     width: 1,
-                    advised: Some(advised).filter(|a| *a < 4),
-                    transit: transit && mesh,
-                    cut: number == 0,
+                    advised_route: Some(advised).filter(|a| *a < 4),
+                    in_transit: transit && mesh,
+                    after_cut: number == 0,
                 };
                 let held = Held {
                     new: new.clone(),
@@ -246,7 +255,7 @@
                     ran: false,
                 };
                 self.calls.insert(call, held);
-                self.tell(Event::Call(new));
+                self.tell(Event::CallOffered(new));
             }
             Step::Progress { pick, how } => {
                 let out: Vec<_> =
@@ -259,7 +268,7 @@
                         o.stands = true;
                         c.answered = true;
                         let attempt = o.attempt;
-                        self.tell(Event::Stands { call: id, attempt, took: 40 * MS });
+                        self.tell(Event::CallStands { call: id, attempt, elapsed: 40 * MS });
                     }
                     0..=2 => self.end(id, Outcome::Completed, Cause::Untold),
                     3 => self.end(id, Outcome::Cut, Cause::Untold),
@@ -274,41 +283,41 @@
             Step::Circuits { exchange, free } => {
                 // What cannot be a value counts as not reported.
                 let odd = [None, Some(f64::NAN), Some(-1.0), Some(f64::INFINITY), Some(1e300)];
-                let report = Report {
-                    free: Some(f64::from(free)),
-                    size: odd[free as usize % 3].or(Some(20.0)),
+                let report = LoadReport {
+                    free_circuits: Some(f64::from(free)),
+                    group_size: odd[free as usize % 3].or(Some(20.0)),
                     queue: odd[free as usize % 5],
                     wait_ms: odd[exchange as usize % 5],
                     allowed: odd[(free + exchange) as usize % 5],
-                    ..Report::default()
+                    ..LoadReport::default()
                 };
-                self.tell(Event::Probed { exchange, answered: true, took: 0, report });
+                self.tell(Event::LoadReported { exchange, answered: true, elapsed: 0, report });
             }
             Step::Listing { exchange, standing, young } => {
                 let mut e = up(exchange);
-                e.standing = [Standing::Up, Standing::Draining, Standing::Gone][standing];
+                e.standing = [ExchangeState::Up, ExchangeState::Draining, ExchangeState::Gone][standing];
                 e.since = Some(self.now).filter(|_| young);
-                self.list(ListKind::Changes, vec![e]);
+                self.list(ListUpdate::Changes, vec![e]);
             }
             Step::Whole { named } => {
                 let entries = if named { (0..4).map(up).collect() } else { Vec::new() };
-                self.list(ListKind::Whole, entries);
+                self.list(ListUpdate::Whole, entries);
             }
             Step::HangUp { pick } => {
                 let open: Vec<_> =
                     self.calls.iter().filter(|(_, c)| !c.answered).map(|(id, _)| *id).collect();
                 let Some(&id) = open.get(pick % open.len().max(1)) else { return };
                 self.calls.get_mut(&id).unwrap().answered = true;
-                self.tell(Event::HungUp(id));
+                self.tell(Event::CallerHungUp(id));
             }
             Step::Stray { call } => {
                 // Events for a call that is unknown or over change nothing.
                 let over = self.calls.get(&call).is_none_or(|c| c.answered && c.out.is_none());
                 if over {
                     let before = self.log.len();
-                    self.tell(Event::HungUp(call));
-                    self.tell(Event::Stands { call, attempt: 0, took: MS });
-                    self.tell(Event::Timer(call));
+                    self.tell(Event::CallerHungUp(call));
+                    self.tell(Event::CallStands { call, attempt: 0, elapsed: MS });
+                    self.tell(Event::TimerExpired(call));
                     assert_eq!(self.log.len(), before, "an event for an ended call does nothing");
                 }
             }
@@ -371,11 +380,11 @@
         rig.wait(70 * MS);
     }
     let start = rig.now;
-    rig.tell(Event::List(ListKind::Changes, vec![Entry { since: Some(start), ..up(1) }]));
+    rig.tell(Event::ListUpdated(ListUpdate::Changes, vec![Entry { since: Some(start), ..up(1) }]));
     while rig.now < start + set.cold.lasts {
         let mut call = rig.fresh(1);
         call.class = 1;
-        call.transit = call.call % 3 == 0;
+        call.in_transit = call.call % 3 == 0;
         rig.offer(call);
         rig.wait(10 * MS);
         sent.extend(answered(&mut rig, start));
@@ -394,7 +403,7 @@
     let set = settings();
     let sent = storm(&set, 60);
     // Ten calls a second carried, three set-ups borne for each, the rule's figures, four agents.
-    let share = set.cold.multiple * set.cold.from * 3.0 * 10.0 * 2.0 / f64::from(set.agents);
+    let share = set.cold.multiple * set.cold.from * 3.0 * 10.0 * 2.0 / f64::from(set.controller_count);
     let most = most_in(&sent, set.cold.window);
     assert!(most as f64 <= share + 1.0, "{most} in a window, share {share}");
     assert!(most as f64 >= 0.5 * share, "nor is it cut off: {most} in a window, share {share}");
@@ -412,10 +421,10 @@
     runner(10)
         .run(&input, |(agents, rate, seed)| {
             let mut set = settings();
-            set.agents = agents;
+            set.controller_count = agents;
             let mut sent: Vec<Nanos> = Vec::new();
             for agent in 0..agents {
-                set.own_number = agent;
+                set.controller_index = agent;
                 let mut rig = Rig::seeded(set.clone(), seed * 1000 + u64::from(agent));
                 for i in 0..12 * rate as u32 {
                     rig.round_trip(1 + i % 3, SEC / rate / 2);
@@ -423,11 +432,14 @@
                 }
                 let start = 200 * SEC;
                 rig.now = start;
-                rig.tell(Event::List(ListKind::Changes, vec![Entry { since: Some(start), ..up(1) }]));
+                rig.tell(Event::ListUpdated(
+                    ListUpdate::Changes,
+                    vec![Entry { since: Some(start), ..up(1) }],
+                ));
                 while rig.now < start + 8 * SEC {
                     let mut call = rig.fresh(1);
                     call.class = 1;
-                    call.transit = call.call % 3 == 0;
+                    call.in_transit = call.call % 3 == 0;
                     rig.offer(call);
                     rig.wait(50 * MS);
                     sent.extend(answered(&mut rig, start));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -20,8 +20,8 @@
     assert_eq!(bad(|s| s.classes[1].aim = 0), Some(SettingsError::ZeroAim(1)));
     assert_eq!(bad(|s| s.classes[0].width = 0), Some(SettingsError::ZeroWidth(0)));
     assert_eq!(bad(|s| s.classes[0].worth = f64::NAN), Some(SettingsError::BadWorth(0)));
-    assert_eq!(bad(|s| s.own_number = 4), Some(SettingsError::OwnNumber { own: 4, agents: 4 }));
-    assert_eq!(bad(|s| s.home = None), Some(SettingsError::NoHome));
+    assert_eq!(bad(|s| s.controller_index = 4), Some(SettingsError::OwnNumber { own: 4, agents: 4 }));
+    assert_eq!(bad(|s| s.home_exchange = None), Some(SettingsError::NoHome));
     assert_eq!(bad(|s| s.max_attempts = 0), Some(SettingsError::NoAttempts));
     assert_eq!(bad(|_| {}), None);
 }
@@ -101,9 +101,9 @@
 fn first_answers_after_a_hang_close_no_route_for_good() {
     let mut rig = Rig::new(settings());
     for (old, new) in [(1, 11), (2, 12)] {
-        let gone = Entry { standing: Standing::Gone, ..up(old) };
+        let gone = Entry { standing: ExchangeState::Gone, ..up(old) };
         let fresh = Entry { exchange: new, ..up(old) };
-        rig.tell(Event::List(ListKind::Changes, vec![gone, fresh]));
+        rig.tell(Event::ListUpdated(ListUpdate::Changes, vec![gone, fresh]));
         rig.circuits(new, 20.0, 20.0);
     }
     let late: Vec<_> = [1, 2].iter().flat_map(|n| [rig.dial(*n).0, rig.dial(*n).0]).collect();
@@ -230,7 +230,7 @@
 fn only_what_all_routes_show_is_the_own_processor() {
     for (sound, expected) in [(false, None), (true, Some(3))] {
         let mut rig = Rig::new(settings());
-        rig.tell(Event::List(ListKind::Changes, (1..8).map(up).collect()));
+        rig.tell(Event::ListUpdated(ListUpdate::Changes, (1..8).map(up).collect()));
         for i in 0..140 {
             rig.round_trip(1 + i % 7, 100 * MS);
             rig.wait(SEC);
@@ -360,7 +360,10 @@
     call.deadline = rig.now + 2 * SEC;
     let id = call.call;
     assert_eq!(sent_to(&rig.offer(call)), None);
-    rig.tell(Event::List(ListKind::Changes, vec![Entry { standing: Standing::Draining, ..up(3) }]));
+    rig.tell(Event::ListUpdated(
+        ListUpdate::Changes,
+        vec![Entry { standing: ExchangeState::Draining, ..up(3) }],
+    ));
     rig.wait(10 * MS);
     assert!(rig.sent.iter().all(|s| s.1 != id), "not to the exchange that drains");
     assert_eq!(sent_to(&rig.dial(2).1), Some(2), "others as ever");
@@ -458,11 +461,11 @@
 fn direct_first_then_advised_then_another_after_a_turn_back() {
     let mut rig = Rig::new(settings());
     let mut call = rig.fresh(1);
-    call.advised = Some(3);
+    call.advised_route = Some(3);
     assert_eq!(sent_to(&rig.offer(call)), Some(1), "direct while the group has room");
     rig.circuits(1, 0.0, 20.0);
     let mut call = rig.fresh(1);
-    call.advised = Some(3);
+    call.advised_route = Some(3);
     let id = call.call;
     assert_eq!(sent_to(&rig.offer(call)), Some(3), "then the advised tandem");
     assert_eq!(sent_to(&rig.ended(id, 0, 3, TURNED_BACK)), Some(2), "turned back: another");
@@ -473,7 +476,7 @@
     let mut rig = Rig::new(settings());
     rig.circuits(1, 0.0, 20.0);
     let mut call = rig.fresh(1);
-    call.advised = Some(3);
+    call.advised_route = Some(3);
     let id = call.call;
     rig.offer(call);
     rig.stands(id, 0, 100 * MS);
@@ -492,7 +495,7 @@
     rig.circuits(3, 2.0, 20.0);
     assert_eq!(sent_to(&rig.dial(1).1), None, "no tandem call on the last circuits");
     let mut transit = rig.fresh(2);
-    transit.transit = true;
+    transit.in_transit = true;
     let id = transit.call;
     assert_eq!(answers(&rig.offer(transit), id), 1, "transit is turned back");
     assert_eq!(sent_to(&rig.dial(2).1), Some(2), "a direct call takes them");
@@ -502,12 +505,12 @@
 fn transit_goes_to_its_destination_or_back() {
     let mut rig = Rig::new(settings());
     let mut transit = rig.fresh(2);
-    transit.transit = true;
+    transit.in_transit = true;
     assert_eq!(sent_to(&rig.offer(transit)), Some(2));
     rig.circuits(2, 0.0, 20.0);
     let mut transit = rig.fresh(2);
-    transit.transit = true;
-    transit.advised = Some(3);
+    transit.in_transit = true;
+    transit.advised_route = Some(3);
     let id = transit.call;
     let actions = rig.offer(transit);
     assert_eq!((sent_to(&actions), answers(&actions, id)), (None, 1));
@@ -516,8 +519,8 @@
 #[test]
 fn pools_are_tried_by_choice_advice_and_skill() {
     let mut set = settings();
-    set.shape = Shape::Pools;
-    set.home = None;
+    set.topology = Topology::Pools;
+    set.home_exchange = None;
     set.classes[0].pools = vec![1, 2];
     let mut rig = Rig::new(set);
     assert_eq!(sent_to(&rig.dial(1).1), Some(1));
@@ -533,14 +536,15 @@
 fn a_held_call_is_answered_before_its_deadline() {
     let mut rig = Rig::new(settings());
     let (id, actions) = rig.dial(1);
-    let due = actions.iter().find_map(|a| if let Action::Timer(t, at) = a { Some((*t, *at)) } else { None });
+    let due =
+        actions.iter().find_map(|a| if let Action::SetTimer(t, at) = a { Some((*t, *at)) } else { None });
     let (token, at) = due.expect("an answer timer");
     assert!(at < rig.now + 3 * SEC);
     rig.now = at;
-    let actions = rig.tell(Event::Timer(token));
-    assert!(actions.contains(&Action::CallOff { call: id, attempt: 0 }));
+    let actions = rig.tell(Event::TimerExpired(token));
+    assert!(actions.contains(&Action::CancelAttempt { call: id, attempt: 0 }));
     assert!(actions.contains(&Action::Fail(id)));
-    assert!(rig.tell(Event::Timer(token)).is_empty(), "a timer no longer needed does nothing");
+    assert!(rig.tell(Event::TimerExpired(token)).is_empty(), "a timer no longer needed does nothing");
 }
 
 #[test]
@@ -551,16 +555,16 @@
     let actions = rig.ended(id, 0, 1, (Outcome::Cut, Cause::Untold));
     assert_eq!(sent_to(&actions), None);
     rig.wait(299 * MS);
-    assert_eq!(sent_to(&rig.tell(Event::Timer(id))), None);
+    assert_eq!(sent_to(&rig.tell(Event::TimerExpired(id))), None);
     rig.wait(MS);
-    assert!(sent_to(&rig.tell(Event::Timer(id))).is_some());
+    assert!(sent_to(&rig.tell(Event::TimerExpired(id))).is_some());
 }
 
 #[test]
 fn nothing_goes_to_an_exchange_that_drains_or_is_gone() {
-    for standing in [Standing::Draining, Standing::Gone] {
+    for standing in [ExchangeState::Draining, ExchangeState::Gone] {
         let mut rig = Rig::new(settings());
-        rig.tell(Event::List(ListKind::Changes, vec![Entry { standing, ..up(1) }]));
+        rig.tell(Event::ListUpdated(ListUpdate::Changes, vec![Entry { standing, ..up(1) }]));
         let (id, actions) = rig.dial(1);
         assert_eq!((sent_to(&actions), answers(&actions, id)), (None, 1));
         rig.circuits(2, 0.0, 20.0);
@@ -571,7 +575,7 @@
 #[test]
 fn a_list_that_names_nobody_refuses_all_in_time() {
     let mut rig = Rig::new(settings());
-    rig.tell(Event::List(ListKind::Whole, Vec::new()));
+    rig.tell(Event::ListUpdated(ListUpdate::Whole, Vec::new()));
     let (id, actions) = rig.dial(1);
     assert_eq!(answers(&actions, id), 1);
 }
@@ -584,8 +588,8 @@
         rig.wait(50 * MS);
     }
     let new = Entry { exchange: 9, since: Some(rig.now), ..up(1) };
-    let old = Entry { standing: Standing::Draining, ..up(1) };
-    rig.tell(Event::List(ListKind::Changes, vec![old, new]));
+    let old = Entry { standing: ExchangeState::Draining, ..up(1) };
+    rig.tell(Event::ListUpdated(ListUpdate::Changes, vec![old, new]));
     let (id, _) = rig.dial(1);
     rig.wait(SEC);
     let to: Vec<_> = rig.sent.iter().filter(|s| s.1 == id).map(|s| s.2).collect();
@@ -597,8 +601,8 @@
     let mut rig = Rig::new(settings());
     rig.circuits(1, 0.0, 20.0);
     let new = Entry { exchange: 9, since: Some(rig.now), ..up(1) };
-    let old = Entry { standing: Standing::Draining, ..up(1) };
-    rig.tell(Event::List(ListKind::Changes, vec![old, new]));
+    let old = Entry { standing: ExchangeState::Draining, ..up(1) };
+    rig.tell(Event::ListUpdated(ListUpdate::Changes, vec![old, new]));
     assert_ne!(sent_to(&rig.dial(1).1), Some(9));
 }
 
@@ -663,13 +667,16 @@
 #[test]
 fn a_refused_caller_is_told_when_to_come_back() {
     let pause = |rig: &mut Rig| match rig.dial(1).1.last() {
-        Some(Action::Refuse { pause, .. }) => *pause,
+        Some(Action::Refuse { retry_after, .. }) => *retry_after,
         other => panic!("refused: {other:?}"),
     };
     for (most, early, late) in [(None, 0, 0), (Some(SEC), 300 * MS, SEC), (Some(5 * SEC), 300 * MS, 2 * SEC)]
     {
-        let mut rig = Rig::new(Settings { max_pause: most, ..settings() });
-        rig.tell(Event::List(ListKind::Changes, vec![Entry { standing: Standing::Draining, ..up(1) }]));
+        let mut rig = Rig::new(Settings { max_retry_after: most, ..settings() });
+        rig.tell(Event::ListUpdated(
+            ListUpdate::Changes,
+            vec![Entry { standing: ExchangeState::Draining, ..up(1) }],
+        ));
         assert_eq!(pause(&mut rig), early);
         let mut call = rig.fresh(1);
         call.dialled = Some(7);
@@ -677,7 +684,7 @@
         rig.wait(2 * SEC);
         let again = NewCall { call: call.call + 1, deadline: rig.now + SEC, ..call };
         let actions = rig.offer(again);
-        let refused = Action::Refuse { call: call.call + 1, pause: late };
+        let refused = Action::Refuse { call: call.call + 1, retry_after: late };
         assert_eq!(actions.last(), Some(&refused), "it can only be late by now");
     }
 }
@@ -688,12 +695,12 @@
     set.list_on_request = true;
     let mut controller = Controller::new(set, 1).unwrap();
     let mut actions = Vec::new();
-    controller.handle(SEC, Event::List(ListKind::Restored, vec![up(1)]), &mut actions);
+    controller.handle_event(SEC, Event::ListUpdated(ListUpdate::Restored, vec![up(1)]), &mut actions);
     assert!(actions.contains(&Action::Subscribe));
     actions.clear();
-    controller.handle(2 * SEC, Event::List(ListKind::Unavailable, Vec::new()), &mut actions);
-    let Some(Action::Timer(token, at)) = actions.pop() else { panic!("asks again later") };
-    controller.handle(at, Event::Timer(token), &mut actions);
+    controller.handle_event(2 * SEC, Event::ListUpdated(ListUpdate::Unavailable, Vec::new()), &mut actions);
+    let Some(Action::SetTimer(token, at)) = actions.pop() else { panic!("asks again later") };
+    controller.handle_event(at, Event::TimerExpired(token), &mut actions);
     assert_eq!(actions, vec![Action::Subscribe]);
 }
 
@@ -702,7 +709,7 @@
     let mut rig = Rig::new(settings());
     rig.circuits(1, f64::NAN, f64::INFINITY);
     rig.circuits(1, -1.0, -1.0);
-    rig.tell(Event::Probed { exchange: 1, answered: true, took: 0, report: Report::default() });
-    rig.tell(Event::Probed { exchange: 77, answered: true, took: 0, report: Report::default() });
+    rig.tell(Event::LoadReported { exchange: 1, answered: true, elapsed: 0, report: LoadReport::default() });
+    rig.tell(Event::LoadReported { exchange: 77, answered: true, elapsed: 0, report: LoadReport::default() });
     assert_eq!(sent_to(&rig.dial(1).1), Some(1));
 }
