--- a/ctl/src/main.rs
+++ b/ctl/src/main.rs
@@ -180,7 +180,7 @@
             if trace.is_some() && runs > 1 {
                 return Err("--trace follows a call of one run: leave --runs out".into());
             }
-            let seconds = rehearsal::seconds(&script, short);
+            let seconds = rehearsal::offering_seconds(&script, short);
             if measure.is_some() && (runs > 1 || clock == Clock::Wall) {
                 return Err("--measure is for one run on the virtual clock".into());
             }
--- a/rehearsal/src/audit.rs
+++ b/rehearsal/src/audit.rs
@@ -135,40 +135,40 @@
 /// What passed on the wires, or was told.
 #[allow(missing_docs)]
 #[derive(Clone, Copy, Debug)]
-pub enum Seen<'a> {
+pub enum Observation<'a> {
     /// A controller was killed, after it was told to end where that is said.
-    Killed { controller: usize, terminated: Option<Nanos> },
+    ControllerKilled { controller: usize, terminated_at: Option<Nanos> },
     /// A controller that was told to end has ended.
-    Exited { controller: usize },
+    ControllerExited { controller: usize },
     /// A controller has ended of its own accord.
-    Crashed { controller: usize, how: &'a str },
+    ControllerCrashed { controller: usize, exit_status: &'a str },
     /// A controller was not ready in time.
-    NotReady { controller: usize },
+    ControllerNotReady { controller: usize },
     /// A controller takes more of the machine than it may.
-    OverLimit { controller: usize, memory_mb: u64, descriptors: u64 },
+    ControllerOverLimit { controller: usize, memory_mb: u64, descriptors: u64 },
     /// A bad caller was neither told anything nor closed in time.
     BadCallerIgnored { controller: usize },
     /// A caller's set-up, or one in transit that came of another call.
-    CallerSetUp {
+    SetUpFromCaller {
         controller: usize,
         id: u64,
         class: &'a str,
         number: &'a str,
         description: &'a [u8],
-        wait: Nanos,
+        timeout: Nanos,
         destination: usize,
-        transit: Option<u64>,
+        parent_call: Option<u64>,
     },
     /// The caller waits no longer.
     CallerGaveUp { controller: usize, id: u64 },
     /// The caller's connection ended under its set-up.
-    CallerLost { controller: usize, id: u64 },
+    CallerDisconnected { controller: usize, id: u64 },
     /// The controller said that the call stands.
-    CallerAnswered { controller: usize, id: u64, description: &'a [u8] },
+    AnswerToCaller { controller: usize, id: u64, description: &'a [u8] },
     /// The controller refused, failed or released it.
-    CallerReleased { controller: usize, id: u64, cause: u8, pause: Option<Nanos> },
+    ReleaseToCaller { controller: usize, id: u64, cause: u8, retry_after: Option<Nanos> },
     /// A set-up reached a node.
-    Invite {
+    InviteToNode {
         controller: usize,
         node: usize,
         machine: usize,
@@ -178,64 +178,75 @@
         description: &'a [u8],
     },
     /// The controller gave the attempt up.
-    Cancel { controller: usize, id: u64 },
+    CancelToNode { controller: usize, id: u64 },
     /// The connection that it was out on is gone.
-    AttemptLost { controller: usize, id: u64 },
+    AttemptConnectionLost { controller: usize, id: u64 },
     /// The controller released what stands.
-    Bye { controller: usize, id: u64 },
+    ByeFromController { controller: usize, id: u64 },
     /// The node's final response.
-    Response { controller: usize, id: u64, code: u16, cause: &'a str, description: &'a [u8] },
+    ResponseFromNode { controller: usize, id: u64, code: u16, cause: &'a str, description: &'a [u8] },
     /// The node released what stood.
-    Released { controller: usize, id: u64, cause: u8 },
+    ByeFromNode { controller: usize, id: u64, cause: u8 },
     /// What stood at a node is over, whether it could say so or not.
-    Over { controller: usize, id: u64 },
-    /// The register's service holds news of a machine. `again`: it can be reached after calls to it had failed.
-    Held { controller: usize, machine: usize, state: &'static str, again: bool },
+    CallEndedAtNode { controller: usize, id: u64 },
+    /// The register's service holds news of a machine. `after_outage`: it can be reached after calls to it had failed.
+    JournalUpdateAvailable { controller: usize, machine: usize, state: &'static str, after_outage: bool },
     /// It has told them.
-    Told { controller: usize, machine: usize, state: &'static str },
+    JournalUpdateSent { controller: usize, machine: usize, state: &'static str },
 }
 
-impl Seen<'_> {
+impl Observation<'_> {
     fn call(&self) -> Option<(usize, u64)> {
         match *self {
-            Seen::CallerSetUp { controller, id, .. }
-            | Seen::CallerGaveUp { controller, id }
-            | Seen::CallerLost { controller, id }
-            | Seen::CallerAnswered { controller, id, .. }
-            | Seen::CallerReleased { controller, id, .. }
-            | Seen::Invite { controller, id, .. }
-            | Seen::Cancel { controller, id }
-            | Seen::AttemptLost { controller, id }
-            | Seen::Bye { controller, id }
-            | Seen::Response { controller, id, .. }
-            | Seen::Released { controller, id, .. }
-            | Seen::Over { controller, id } => Some((controller, id)),
+            Observation::SetUpFromCaller { controller, id, .. }
+            | Observation::CallerGaveUp { controller, id }
+            | Observation::CallerDisconnected { controller, id }
+            | Observation::AnswerToCaller { controller, id, .. }
+            | Observation::ReleaseToCaller { controller, id, .. }
+            | Observation::InviteToNode { controller, id, .. }
+            | Observation::CancelToNode { controller, id }
+            | Observation::AttemptConnectionLost { controller, id }
+            | Observation::ByeFromController { controller, id }
+            | Observation::ResponseFromNode { controller, id, .. }
+            | Observation::ByeFromNode { controller, id, .. }
+            | Observation::CallEndedAtNode { controller, id } => Some((controller, id)),
             _ => None,
         }
     }
 
     fn text(&self) -> String {
         match *self {
-            Seen::CallerSetUp { class, number, wait, destination, transit, .. } => {
+            Observation::SetUpFromCaller {
+                class,
+                number,
+                timeout: wait,
+                destination,
+                parent_call: transit,
+                ..
+            } => {
                 let from = transit.map_or(String::new(), |t| format!(", in transit for {t:016x}"));
                 format!("set-up of {class} to n{destination}, number {number}, waits {} ms{from}", wait / MS)
             }
-            Seen::CallerGaveUp { .. } => "given up by its caller".into(),
-            Seen::CallerLost { .. } => "its caller's connection ended".into(),
-            Seen::CallerAnswered { description, .. } => {
+            Observation::CallerGaveUp { .. } => "given up by its caller".into(),
+            Observation::CallerDisconnected { .. } => "its caller's connection ended".into(),
+            Observation::AnswerToCaller { description, .. } => {
                 format!("caller told: stands ({} bytes)", description.len())
             }
-            Seen::CallerReleased { cause, pause, .. } => match pause {
+            Observation::ReleaseToCaller { cause, retry_after: pause, .. } => match pause {
                 Some(pause) => format!("caller told: release {cause}, come back after {} ms", pause / MS),
                 None => format!("caller told: release {cause}"),
             },
-            Seen::Invite { node, machine, .. } => format!("INVITE to n{node} (machine {machine})"),
-            Seen::Cancel { .. } => "CANCEL".into(),
-            Seen::AttemptLost { .. } => "the connection of its attempt ended".into(),
-            Seen::Bye { .. } => "BYE from the controller".into(),
-            Seen::Response { code, cause, .. } => format!("response {code} {cause}").trim_end().into(),
-            Seen::Released { cause, .. } => format!("BYE from the node, cause {cause}"),
-            Seen::Over { .. } => "over at its node".into(),
+            Observation::InviteToNode { node, machine, .. } => {
+                format!("INVITE to n{node} (machine {machine})")
+            }
+            Observation::CancelToNode { .. } => "CANCEL".into(),
+            Observation::AttemptConnectionLost { .. } => "the connection of its attempt ended".into(),
+            Observation::ByeFromController { .. } => "BYE from the controller".into(),
+            Observation::ResponseFromNode { code, cause, .. } => {
+                format!("response {code} {cause}").trim_end().into()
+            }
+            Observation::ByeFromNode { cause, .. } => format!("BYE from the node, cause {cause}"),
+            Observation::CallEndedAtNode { .. } => "over at its node".into(),
             _ => String::new(),
         }
     }
@@ -328,12 +339,12 @@
     }
 
     /// Writes down all that passes for a call, and for the calls in transit that come of it.
-    pub fn trace(&mut self, call: u64) {
+    pub fn trace_call(&mut self, call: u64) {
         self.traced.insert(call);
     }
 
     /// What was written down.
-    pub fn traced(&self) -> &[String] {
+    pub fn trace_lines(&self) -> &[String] {
         &self.trace
     }
 
@@ -372,7 +383,7 @@
     }
 
     /// A controller wrote what cannot be read.
-    pub fn unreadable(&mut self, now: Nanos, controller: usize) {
+    pub fn malformed_output(&mut self, now: Nanos, controller: usize) {
         self.breach(now, Rule::Readable, (controller, None), "bytes that are no message".into());
     }
 
@@ -384,7 +395,7 @@
 
     /// A cold processor was pushed over by set-ups from these controllers. The rule is broken if two thirds of
     /// them knew of its start.
-    pub fn fell_over(&mut self, now: Nanos, machine: usize, node: usize, from: &[usize]) {
+    pub fn cold_processor_crashed(&mut self, now: Nanos, machine: usize, node: usize, from: &[usize]) {
         let knew = from.iter().filter(|c| self.told_start.contains(&(**c, machine))).count();
         if 3 * knew >= 2 * from.len() {
             let what = format!("n{node} was pushed over: {} set-ups, {knew} by those who knew", from.len());
@@ -418,17 +429,17 @@
     }
 
     /// The rehearsal is over.
-    pub fn close(&mut self, now: Nanos) {
+    pub fn finish(&mut self, now: Nanos) {
         self.advance(now);
     }
 
     /// Takes in what passed.
-    pub fn saw(&mut self, now: Nanos, seen: Seen<'_>) {
+    pub fn observe(&mut self, now: Nanos, seen: Observation<'_>) {
         self.base.get_or_insert(now);
         let Some(key) = seen.call() else { return self.told(now, seen) };
         let line = || format!("{:9.4} n{} {:016x} {}", self.seconds(now), key.0, key.1, seen.text());
         let line = line();
-        if let Seen::CallerSetUp { transit: Some(parent), id, .. } = seen {
+        if let Observation::SetUpFromCaller { parent_call: Some(parent), id, .. } = seen {
             if self.traced.contains(&parent) {
                 self.traced.insert(id);
             }
@@ -442,51 +453,55 @@
                 record.messages.remove(0);
             }
             record.messages.push(line);
-        } else if !matches!(seen, Seen::CallerSetUp { .. }) {
+        } else if !matches!(seen, Observation::SetUpFromCaller { .. }) {
             return self.unknown(now, key, seen);
         }
         self.call(now, key, seen);
     }
 
-    fn unknown(&mut self, now: Nanos, (controller, id): (usize, u64), seen: Seen<'_>) {
+    fn unknown(&mut self, now: Nanos, (controller, id): (usize, u64), seen: Observation<'_>) {
         let what = match seen {
-            Seen::Invite { .. } => "a set-up that no caller sent",
-            Seen::CallerAnswered { .. } => "an answer to a call that no caller made",
+            Observation::InviteToNode { .. } => "a set-up that no caller sent",
+            Observation::AnswerToCaller { .. } => "an answer to a call that no caller made",
             _ => return,
         };
         self.breach(now, Rule::Unchanged, (controller, Some(id)), what.into());
     }
 
-    fn told(&mut self, now: Nanos, seen: Seen<'_>) {
+    fn told(&mut self, now: Nanos, seen: Observation<'_>) {
         match seen {
-            Seen::Killed { controller, terminated } => self.killed(now, controller, terminated),
-            Seen::Exited { controller } => self.orphan(controller),
-            Seen::Crashed { controller, how } => {
+            Observation::ControllerKilled { controller, terminated_at: terminated } => {
+                self.killed(now, controller, terminated)
+            }
+            Observation::ControllerExited { controller } => self.orphan(controller),
+            Observation::ControllerCrashed { controller, exit_status: how } => {
                 self.breach(now, Rule::RunsOn, (controller, None), format!("ended by itself: {how}"));
             }
-            Seen::NotReady { controller } => {
+            Observation::ControllerNotReady { controller } => {
                 self.breach(now, Rule::ReadyInTime, (controller, None), "not ready in time".into());
             }
-            Seen::OverLimit { controller, memory_mb, descriptors } => {
+            Observation::ControllerOverLimit { controller, memory_mb, descriptors } => {
                 let what = format!("takes {memory_mb} MB and {descriptors} descriptors");
                 self.breach(now, Rule::WithinLimits, (controller, None), what);
             }
-            Seen::BadCallerIgnored { controller } => {
+            Observation::BadCallerIgnored { controller } => {
                 let what = "a bad caller was neither told anything nor closed".into();
                 self.breach(now, Rule::BadCallerTold, (controller, None), what);
             }
-            Seen::Held { controller, machine, state, again } if state != "SERVING" => {
+            Observation::JournalUpdateAvailable { controller, machine, state, after_outage: again }
+                if state != "SERVING" =>
+            {
                 let told = now + if again { TOLD_AFTER_FAILURE } else { TOLD_AT_LATEST };
                 let at = self.closed.entry((controller, machine)).or_insert(told);
                 *at = (*at).min(told);
             }
-            Seen::Told { controller, machine, state: "SERVING" } => {
+            Observation::JournalUpdateSent { controller, machine, state: "SERVING" } => {
                 self.closed.remove(&(controller, machine));
                 if self.started.contains_key(&machine) {
                     self.told_start.insert((controller, machine));
                 }
             }
-            Seen::Told { controller, machine, .. } => {
+            Observation::JournalUpdateSent { controller, machine, .. } => {
                 let at = self.closed.entry((controller, machine)).or_insert(now);
                 *at = (*at).min(now);
             }
@@ -525,10 +540,18 @@
         self.told_start.retain(|(c, _)| *c != controller);
     }
 
-    fn call(&mut self, now: Nanos, key: (usize, u64), seen: Seen<'_>) {
+    fn call(&mut self, now: Nanos, key: (usize, u64), seen: Observation<'_>) {
         let place = (key.0, Some(key.1));
         match seen {
-            Seen::CallerSetUp { class, number, description, wait, destination, transit, .. } => {
+            Observation::SetUpFromCaller {
+                class,
+                number,
+                description,
+                timeout: wait,
+                destination,
+                parent_call: transit,
+                ..
+            } => {
                 let deadline = now + wait;
                 let record = Record {
                     class: class.into(),
@@ -551,7 +574,7 @@
                 self.due.insert((deadline + ANSWER_GRACE, key.0, key.1));
                 return;
             }
-            Seen::Invite { node, machine, class, number, description, .. } => {
+            Observation::InviteToNode { node, machine, class, number, description, .. } => {
                 return self.invite(now, key, (node, machine), (class, number, description));
             }
             _ => {}
@@ -559,8 +582,10 @@
         let Some(record) = self.records.get_mut(&key) else { return };
         let mut broken = None;
         match seen {
-            Seen::CallerGaveUp { .. } | Seen::CallerLost { .. } => {
-                let lost = matches!(seen, Seen::CallerLost { .. }) && !record.answered && !record.given_up;
+            Observation::CallerGaveUp { .. } | Observation::CallerDisconnected { .. } => {
+                let lost = matches!(seen, Observation::CallerDisconnected { .. })
+                    && !record.answered
+                    && !record.given_up;
                 let late = now >= record.deadline + ANSWER_GRACE && !record.answered && !record.given_up;
                 record.given_up = true;
                 if late {
@@ -569,7 +594,7 @@
                     broken = Some((Rule::OneFinalAnswer, "its connection was closed and no answer given"));
                 }
             }
-            Seen::CallerAnswered { description, .. } => {
+            Observation::AnswerToCaller { description, .. } => {
                 if record.answered {
                     broken = Some((Rule::OneFinalAnswer, "a second final answer"));
                 } else if record.given_up {
@@ -586,7 +611,7 @@
                 record.answered = true;
             }
             // A successor passes on what it never saw; that its predecessor had failed the call it cannot know.
-            Seen::CallerReleased { .. } if record.stands || record.orphaned => {
+            Observation::ReleaseToCaller { .. } if record.stands || record.orphaned => {
                 if !record.ended && !record.orphaned {
                     if let Some(at) = record.released_at {
                         raise(&mut self.worst.told_after_release_s, seconds(now - at));
@@ -596,7 +621,7 @@
                 }
                 (record.ended, record.release_by) = (true, None);
             }
-            Seen::CallerReleased { .. } => {
+            Observation::ReleaseToCaller { .. } => {
                 if record.answered {
                     broken = Some((Rule::OneFinalAnswer, "a second final answer"));
                 } else if !record.given_up && now > record.deadline + ANSWER_GRACE {
@@ -604,10 +629,12 @@
                 }
                 record.answered = true;
             }
-            Seen::Cancel { .. } => (record.out, record.waits_from) = (false, Some(now)),
-            Seen::AttemptLost { .. } if record.out => (record.out, record.waits_from) = (false, Some(now)),
-            Seen::Bye { .. } => (record.ended, record.release_by) = (true, None),
-            Seen::Response { code, description, .. } => {
+            Observation::CancelToNode { .. } => (record.out, record.waits_from) = (false, Some(now)),
+            Observation::AttemptConnectionLost { .. } if record.out => {
+                (record.out, record.waits_from) = (false, Some(now))
+            }
+            Observation::ByeFromController { .. } => (record.ended, record.release_by) = (true, None),
+            Observation::ResponseFromNode { code, description, .. } => {
                 record.out = false;
                 match code {
                     200 => record.answers.push(description.to_vec()),
@@ -615,8 +642,8 @@
                     _ => {}
                 }
             }
-            Seen::Released { .. } | Seen::Over { .. } => {
-                let said = matches!(seen, Seen::Released { .. });
+            Observation::ByeFromNode { .. } | Observation::CallEndedAtNode { .. } => {
+                let said = matches!(seen, Observation::ByeFromNode { .. });
                 let first = if said { &mut record.released_at } else { &mut record.over_at };
                 first.get_or_insert(now);
                 let by = now + if said { RELEASED_AFTER_BYE } else { RELEASED_AFTER_END };
--- a/rehearsal/src/compare.rs
+++ b/rehearsal/src/compare.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-use crate::report::{Report, Run};
+use crate::report::{Report, RunReport};
 
 /// The level at which a difference is held to be beyond the noise.
 const LEVEL: f64 = 0.95;
@@ -88,19 +88,19 @@
     }
     let seeds = |r: &Report| r.runs.iter().map(|r| r.seed).collect::<Vec<_>>();
     let paired = seeds(a) == seeds(b);
-    let line = |figure: &str, get: &dyn Fn(&Run) -> f64| {
+    let line = |figure: &str, get: &dyn Fn(&RunReport) -> f64| {
         let values = |r: &Report| r.runs.iter().map(get).collect::<Vec<_>>();
         let (x, y) = (values(a), values(b));
         let (ma, mb) = (mean(&x), mean(&y));
         Line { figure: figure.into(), a: ma, b: mb, difference: mb - ma, noise: noise(&x, &y, paired) }
     };
-    let per = |part: u64, run: &Run| part as f64 / run.calls.offered.max(1) as f64;
+    let per = |part: u64, run: &RunReport| part as f64 / run.calls.offered.max(1) as f64;
     let mut lines = vec![
         line("service_worth", &|r| r.service_worth),
         line("worst_ten_seconds", &|r| r.worst_ten_seconds),
     ];
     for name in a.classes.keys().filter(|name| b.classes.contains_key(*name)) {
-        let get = |r: &Run| r.classes.get(name).map_or(0.0, |c| c.service_worth);
+        let get = |r: &RunReport| r.classes.get(name).map_or(0.0, |c| c.service_worth);
         lines.push(line(&format!("worth of {name}"), &get));
     }
     lines.push(line("late, share", &|r| per(r.calls.late, r)));
--- a/rehearsal/src/lib.rs
+++ b/rehearsal/src/lib.rs
@@ -24,13 +24,13 @@
 
 use measured::calendar::Calendar;
 use measured::record::Interval;
-use report::{Report, Run};
+use report::{Report, RunReport};
 use script::Script;
 use virtual_clock::Make;
 use world::{nanos, World};
 
 /// Seconds in which calls are offered, in full or in the short form.
-pub fn seconds(script: &Script, short: bool) -> f64 {
+pub fn offering_seconds(script: &Script, short: bool) -> f64 {
     let full = script.seconds.0;
     script.short_seconds.filter(|_| short).map_or(full, |s| s.0)
 }
@@ -42,19 +42,22 @@
     short: bool,
     trace: Option<u64>,
     make: Make<'_>,
-) -> Result<(Run, Vec<String>), String> {
-    let offers = nanos(seconds(script, short));
+) -> Result<(RunReport, Vec<String>), String> {
+    let offers = nanos(offering_seconds(script, short));
     let addresses = Box::new(virtual_clock::address);
     let mut world = World::new(script.clone(), seed, virtual_clock::BEGINS, offers, addresses);
-    trace.into_iter().for_each(|call| world.audit.trace(call));
+    trace.into_iter().for_each(|call| world.audit.trace_call(call));
     let (world, _) = virtual_clock::play(world, make)?;
-    Ok((Run::new(script, seed, &world.books, &world.audit, world.digest()), world.audit.traced().to_vec()))
+    Ok((
+        RunReport::new(script, seed, &world.books, &world.audit, world.digest()),
+        world.audit.trace_lines().to_vec(),
+    ))
 }
 
 /// What controllers measured in a rehearsal, and what was truly offered.
 pub struct Measured {
     /// The rehearsal's report.
-    pub run: Run,
+    pub run: RunReport,
     /// The intervals of all controllers.
     pub intervals: Vec<Interval>,
     /// By class and the two ends of a group, the lower first: the load of fresh calls offered, in erlang of calls.
@@ -68,7 +71,7 @@
     let world = World::new(script.clone(), seed, virtual_clock::BEGINS, offers, addresses);
     let offered = world.offered();
     let (world, intervals) = virtual_clock::play(world, &mut virtual_clock::measuring(calendar.clone()))?;
-    let run = Run::new(script, seed, &world.books, &world.audit, world.digest());
+    let run = RunReport::new(script, seed, &world.books, &world.audit, world.digest());
     Ok(Measured { run, intervals, offered })
 }
 
@@ -97,6 +100,6 @@
     });
     let mut done = done.into_inner().expect("no holder panics");
     done.sort_by_key(|(run, _)| *run);
-    let runs: Result<Vec<Run>, String> = done.into_iter().map(|(_, r)| r.map(|(run, _)| run)).collect();
-    Ok(Report::new(script, "virtual", seconds(script, short), runs?))
+    let runs: Result<Vec<RunReport>, String> = done.into_iter().map(|(_, r)| r.map(|(run, _)| run)).collect();
+    Ok(Report::new(script, "virtual", offering_seconds(script, short), runs?))
 }
--- a/rehearsal/src/plots.rs
+++ b/rehearsal/src/plots.rs
@@ -6,7 +6,7 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-use crate::report::{Report, Run};
+use crate::report::{Report, RunReport};
 
 const SIZE: (u32, u32) = (1100, 420);
 /// Nodes whose wait is drawn as a line of their own; past these the median and the longest are drawn.
@@ -115,7 +115,7 @@
     Ok(())
 }
 
-fn wait(area: &Area<'_>, report: &Report, run: &Run) -> Result<(), Error> {
+fn wait(area: &Area<'_>, report: &Report, run: &RunReport) -> Result<(), Error> {
     let most = run.nodes.iter().flat_map(|n| &n.wait).fold(0.1, |a: f64, b| a.max(*b));
     let title = format!("{}: wait at each node's processor (seed {})", report.script, run.seed);
     let mut chart = chart!(area, report, title, most, "seconds");
@@ -144,7 +144,7 @@
     Ok(())
 }
 
-fn cold(area: &Area<'_>, report: &Report, run: &Run) -> Result<(), Error> {
+fn cold(area: &Area<'_>, report: &Report, run: &RunReport) -> Result<(), Error> {
     let nodes: Vec<_> = run.nodes.iter().filter(|n| !n.cold.is_empty()).collect();
     let most = nodes.iter().flat_map(|n| &n.cold).fold(1.0, |a: f64, c| a.max(c.1).max(c.2));
     let title = match nodes.len() {
--- a/rehearsal/src/report.rs
+++ b/rehearsal/src/report.rs
@@ -11,7 +11,7 @@
 
 /// What became of a caller's call, over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// It stood in time and came to its natural end.
     Stood,
     /// It stood after its aim.
@@ -96,7 +96,7 @@
 
 /// A call that was lost, to be looked into with `--trace`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lost {
+pub struct LostCall {
     /// The id of its last try.
     pub call: String,
     /// The controller that had it.
@@ -113,25 +113,25 @@
 const LOST_NAMED: usize = 200;
 
 /// Books that the world keeps.
-pub struct Books {
+pub struct RunStatistics {
     windows: Vec<Window>,
     classes: Vec<(Calls, f64, f64)>,
     worth: Vec<f64>,
     nodes: Vec<NodeReport>,
     redials: u64,
-    lost: Vec<Lost>,
+    lost: Vec<LostCall>,
     /// Microseconds from a try to its answer.
     set_ups: Histogram<u64>,
     /// What truly happened to machines, as the register will learn it.
-    pub truth: Vec<(usize, &'static str, Option<Nanos>)>,
+    pub machine_changes: Vec<(usize, &'static str, Option<Nanos>)>,
 }
 
-impl Books {
+impl RunStatistics {
     /// Empty books.
-    pub fn new(script: &Script, offers: Nanos) -> Books {
+    pub fn new(script: &Script, offers: Nanos) -> RunStatistics {
         let seconds = offers.div_ceil(1_000_000_000) as usize;
         let node = |name| NodeReport { name, wait: vec![0.0; seconds], ..NodeReport::default() };
-        Books {
+        RunStatistics {
             windows: vec![Window::default(); seconds],
             classes: vec![Default::default(); script.classes.len()],
             worth: script.classes.iter().map(|c| c.worth.0).collect(),
@@ -140,7 +140,7 @@
             lost: Vec::new(),
             // Three digits up to the longest that a caller can wait: constants that the library takes.
             set_ups: Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("sound bounds"),
-            truth: Vec::new(),
+            machine_changes: Vec::new(),
         }
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// A call was offered.
-    pub fn offered(&mut self, class: usize, seconds: f64) {
+    pub fn record_offered(&mut self, class: usize, seconds: f64) {
         let worth = self.worth[class];
         self.window(seconds).offered += worth;
         let (calls, offered, _) = &mut self.classes[class];
@@ -159,43 +159,43 @@
     }
 
     /// It is known what became of a call that was first offered at this time.
-    pub fn finished(&mut self, class: usize, seconds: f64, how: Outcome, worth: f64) {
+    pub fn record_outcome(&mut self, class: usize, seconds: f64, how: CallOutcome, worth: f64) {
         self.window(seconds).earned += worth;
         let (calls, _, earned) = &mut self.classes[class];
         *earned += worth;
         match how {
-            Outcome::Stood => calls.stood += 1,
-            Outcome::Late => calls.late += 1,
-            Outcome::Refused => calls.refused += 1,
-            Outcome::Failed => calls.failed += 1,
-            Outcome::Cut => calls.cut += 1,
+            CallOutcome::Stood => calls.stood += 1,
+            CallOutcome::Late => calls.late += 1,
+            CallOutcome::Refused => calls.refused += 1,
+            CallOutcome::Failed => calls.failed += 1,
+            CallOutcome::Cut => calls.cut += 1,
         }
     }
 
     /// A call was lost. The first ones are named.
-    pub fn lost(&mut self, lost: impl FnOnce() -> Lost) {
+    pub fn record_lost_call(&mut self, lost: impl FnOnce() -> LostCall) {
         if self.lost.len() < LOST_NAMED {
             self.lost.push(lost());
         }
     }
 
     /// A try was answered after this time.
-    pub fn answered(&mut self, took: Nanos) {
+    pub fn record_set_up_time(&mut self, took: Nanos) {
         self.set_ups.saturating_record(took / 1_000);
     }
 
     /// A caller dials again.
-    pub fn redial(&mut self) {
+    pub fn record_redial(&mut self) {
         self.redials += 1;
     }
 
     /// A node turned a set-up away.
-    pub fn turned_away(&mut self, node: usize) {
+    pub fn record_turned_away(&mut self, node: usize) {
         self.nodes[node].turned_away += 1;
     }
 
     /// How a node is at this time.
-    pub fn sample(&mut self, seconds: f64, node: usize, wait: f64, cold: Option<(f64, f64)>) {
+    pub fn sample_node(&mut self, seconds: f64, node: usize, wait: f64, cold: Option<(f64, f64)>) {
         let n = &mut self.nodes[node];
         if let Some(at) = n.wait.get_mut(seconds as usize) {
             *at = at.max((wait * 1000.0).round() / 1000.0);
@@ -208,7 +208,7 @@
 
 /// What one rehearsal with one seed came to.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Run {
+pub struct RunReport {
     /// Its seed.
     pub seed: u64,
     /// Share of the offered worth that was earned.
@@ -229,7 +229,7 @@
     #[serde(default)]
     pub worst: Worst,
     /// The first calls that were lost.
-    pub lost: Vec<Lost>,
+    pub lost: Vec<LostCall>,
     /// Per second.
     pub windows: Vec<Window>,
     /// Per node.
@@ -262,7 +262,7 @@
     /// The incident.
     pub bands: Vec<Band>,
     /// The runs.
-    pub runs: Vec<Run>,
+    pub runs: Vec<RunReport>,
 }
 
 fn share(earned: f64, offered: f64) -> f64 {
@@ -283,15 +283,15 @@
     to.redials += calls.redials;
 }
 
-impl Run {
+impl RunReport {
     /// Makes the report of one run.
     pub fn new(
         script: &Script,
         seed: u64,
-        books: &Books,
+        books: &RunStatistics,
         audit: &crate::audit::Auditor,
         digest: String,
-    ) -> Run {
+    ) -> RunReport {
         let named = script.classes.iter().zip(&books.classes).map(|(class, (calls, offered, earned))| {
             (
                 class.name.clone(),
@@ -307,7 +307,7 @@
         let tens = books.windows.windows(10.min(books.windows.len())).map(sum);
         let rules = audit.counts().into_iter().map(|(rule, n)| (rule.name(), n));
         let breaches = audit.breaches().iter().filter_map(|b| serde_json::to_value(b).ok());
-        Run {
+        RunReport {
             seed,
             service_worth: sum(&books.windows),
             worst_ten_seconds: tens.fold(1.0, f64::min),
@@ -330,7 +330,7 @@
 
 impl Report {
     /// Puts runs of one script together.
-    pub fn new(script: &Script, clock: &str, seconds: f64, runs: Vec<Run>) -> Report {
+    pub fn new(script: &Script, clock: &str, seconds: f64, runs: Vec<RunReport>) -> Report {
         let count = runs.len().max(1) as f64;
         let mut classes = BTreeMap::new();
         let (mut calls, mut rules) = (Calls::default(), BTreeMap::new());
--- a/rehearsal/src/soak/mod.rs
+++ b/rehearsal/src/soak/mod.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 use crate::audit::{Rule, Worst};
-use crate::report::Run;
+use crate::report::RunReport;
 use crate::script::Script;
 use crate::wall_clock::{self, Lateness};
 
@@ -76,7 +76,7 @@
     Ok(soak)
 }
 
-fn play_one(asked: &Asked, seed: u64, script: &Script) -> Result<(Run, Lateness), String> {
+fn play_one(asked: &Asked, seed: u64, script: &Script) -> Result<(RunReport, Lateness), String> {
     let logs = asked.logs.as_ref().map(|folder| folder.join(format!("seed-{seed}")));
     let options = wall_clock::Options { short: false, trace: None, logs: logs.clone() };
     let played = wall_clock::rehearse_once(script, seed, &asked.program, &options)?;
@@ -92,7 +92,7 @@
 }
 
 impl Soak {
-    fn add(&mut self, seed: u64, run: &Run, lateness: Lateness) {
+    fn add(&mut self, seed: u64, run: &RunReport, lateness: Lateness) {
         self.runs += 1;
         if lateness.too_late() {
             return self.late.push(seed);
--- a/rehearsal/src/wall_clock.rs
+++ b/rehearsal/src/wall_clock.rs
@@ -17,7 +17,7 @@
 use pitchgw::interface::Nanos;
 use rustix::net::{AddressFamily, SocketType};
 
-use crate::report::Run;
+use crate::report::RunReport;
 use crate::script::Script;
 use crate::world::{nanos, Act, Party, Reach, Signal, WireId, World, MS, SEC};
 
@@ -210,7 +210,7 @@
 /// A script that was played.
 pub struct Played {
     /// What it came to.
-    pub run: Run,
+    pub run: RunReport,
     /// What was written down of the call that was asked for.
     pub traced: Vec<String>,
     /// How far behind the driver was.
@@ -240,9 +240,9 @@
         Box::new(move |controller, party| doors.borrow_mut().address(controller, party))
     };
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_err(text("the time"))?.as_nanos() as Nanos;
-    let offers = nanos(crate::seconds(script, options.short));
+    let offers = nanos(crate::offering_seconds(script, options.short));
     let mut world = World::new(script.clone(), seed, unix + HEAD_START, offers, addresses);
-    options.trace.into_iter().for_each(|call| world.audit.trace(call));
+    options.trace.into_iter().for_each(|call| world.audit.trace_call(call));
     let nodes = world.controllers();
     let mut driver = Driver {
         poll: Poll::new().map_err(text("epoll"))?,
@@ -263,8 +263,8 @@
     let lateness = driver.play()?;
     let world = &mut driver.world;
     world.close_books();
-    let run = Run::new(script, seed, &world.books, &world.audit, world.digest());
-    Ok(Played { run, traced: world.audit.traced().to_vec(), lateness })
+    let run = RunReport::new(script, seed, &world.books, &world.audit, world.digest());
+    Ok(Played { run, traced: world.audit.trace_lines().to_vec(), lateness })
 }
 
 impl Driver<'_> {
--- a/rehearsal/src/world/bad_callers.rs
+++ b/rehearsal/src/world/bad_callers.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use super::{nanos, Act, Due, Party, WireId, World, SEC};
-use crate::audit::Seen;
+use crate::audit::Observation;
 
 /// A bad caller has to be told something, or to be closed, within this time.
 const TOLD_WITHIN: Nanos = 3 * SEC;
@@ -86,7 +86,7 @@
         let Some(told) = self.bad_callers.remove(&wire) else { return };
         let Some(controller) = self.wires.get(&wire).filter(|w| w.up).map(|w| w.controller) else { return };
         if !told && self.terminated[controller].is_none() {
-            self.audit.saw(self.now, Seen::BadCallerIgnored { controller });
+            self.audit.observe(self.now, Observation::BadCallerIgnored { controller });
         }
         self.hang_up(wire);
     }
--- a/rehearsal/src/world/callers.rs
+++ b/rehearsal/src/world/callers.rs
@@ -12,8 +12,8 @@
 
 use super::processor::What;
 use super::{nanos, Act, Due, Party, WireId, World, MS, RECONNECT};
-use crate::audit::{Seen, ANSWER_GRACE};
-use crate::report::{Lost, Outcome};
+use crate::audit::{Observation, ANSWER_GRACE};
+use crate::report::{CallOutcome, LostCall};
 use crate::script::Script;
 
 /// A set-up that crosses the close of its connection by less than this is sent again, once.
@@ -43,7 +43,7 @@
     cut_before: bool,
     /// When the call came to stand.
     pub stood: Option<Nanos>,
-    last: Outcome,
+    last: CallOutcome,
 }
 
 /// Whose call a side is.
@@ -165,11 +165,11 @@
                 id: 0,
                 cut_before: false,
                 stood: None,
-                last: Outcome::Failed,
+                last: CallOutcome::Failed,
             };
             let id = self.callers.next_intent;
             self.callers.next_intent += 1;
-            self.books.offered(class, self.seconds());
+            self.books.record_offered(class, self.seconds());
             self.intents.insert(id, intent);
             self.dial(id);
         }
@@ -188,7 +188,7 @@
         let (id, origin, tries) = (i.id, i.origin, i.tries);
         let (number, destination, class_no, again) = (i.number, i.destination, i.class, i.cut_before);
         if !self.takes_callers(origin) {
-            return self.try_ended(intent, Outcome::Failed, None);
+            return self.try_ended(intent, CallOutcome::Failed, None);
         }
         self.job(origin, self.script.processor.look.0, What::Other);
         let advice = if self.script.advice.given { self.network.advice(origin, destination) } else { None };
@@ -248,17 +248,17 @@
         let side =
             Side { owner, destination, class, stands: false, wire, sent, resent: false, message: Vec::new() };
         self.callers.sides.insert((controller, id), side);
-        self.audit.saw(
+        self.audit.observe(
             self.now,
-            Seen::CallerSetUp {
+            Observation::SetUpFromCaller {
                 controller,
                 id,
                 class: &name,
                 number,
                 description,
-                wait: wait + delivery.takes(),
+                timeout: wait + delivery.takes(),
                 destination,
-                transit,
+                parent_call: transit,
             },
         );
         self.deliver(wire, delivery, controller, &message);
@@ -356,12 +356,15 @@
             match kind {
                 kind::ANSWER => {
                     let description = &description;
-                    self.audit.saw(self.now, Seen::CallerAnswered { controller, id, description });
+                    self.audit.observe(self.now, Observation::AnswerToCaller { controller, id, description });
                     self.side_answered(controller, id, description);
                 }
                 kind::RELEASE => {
                     let pause = pause.map(|ms: u64| ms * MS);
-                    self.audit.saw(self.now, Seen::CallerReleased { controller, id, cause, pause });
+                    self.audit.observe(
+                        self.now,
+                        Observation::ReleaseToCaller { controller, id, cause, retry_after: pause },
+                    );
                     self.side_released(controller, id, cause, pause);
                 }
                 _ => {}
@@ -374,7 +377,7 @@
         side.stands = true;
         let took = self.now - side.sent;
         if matches!(side.owner, Owner::Caller(_)) {
-            self.books.answered(took);
+            self.books.record_set_up_time(took);
         }
         match side.owner {
             Owner::Transit(leg) => self.child_answered(leg, description),
@@ -396,7 +399,11 @@
             (Owner::Caller(intent), true) => self.call_cut(intent),
             (Owner::Caller(intent), false) => {
                 let refused = REFUSED.contains(&cause);
-                self.try_ended(intent, if refused { Outcome::Refused } else { Outcome::Failed }, pause);
+                self.try_ended(
+                    intent,
+                    if refused { CallOutcome::Refused } else { CallOutcome::Failed },
+                    pause,
+                );
             }
         }
     }
@@ -407,9 +414,9 @@
         };
         let (controller, id) = (i.origin, i.id);
         let Some(side) = self.callers.sides.remove(&(controller, id)) else { return };
-        self.audit.saw(self.now, Seen::CallerGaveUp { controller, id });
+        self.audit.observe(self.now, Observation::CallerGaveUp { controller, id });
         self.release_to(controller, side.wire, id);
-        self.try_ended(intent, Outcome::Failed, None);
+        self.try_ended(intent, CallOutcome::Failed, None);
     }
 
     /// Tells a controller that a call is given up or over.
@@ -424,14 +431,14 @@
     pub(super) fn release_transit(&mut self, controller: usize, id: u64) {
         if let Some(side) = self.callers.sides.remove(&(controller, id)) {
             if !side.stands {
-                self.audit.saw(self.now, Seen::CallerGaveUp { controller, id });
+                self.audit.observe(self.now, Observation::CallerGaveUp { controller, id });
             }
             self.release_to(controller, side.wire, id);
         }
     }
 
     /// A try came to nothing: the caller dials again, or gives it up for good.
-    fn try_ended(&mut self, intent: u64, how: Outcome, advice: Option<Nanos>) {
+    fn try_ended(&mut self, intent: u64, how: CallOutcome, advice: Option<Nanos>) {
         let Some(i) = self.intents.get_mut(&intent) else { return };
         i.last = how;
         let heeds = i.heeds && self.callers.ignoring == 0;
@@ -439,7 +446,7 @@
         let pause = advice.filter(|_| heeds).unwrap_or(own);
         let gives_up = i.first + nanos(self.script.classes[i.class].deadline.0);
         if i.tries <= self.script.callers.redials && self.now + pause < gives_up {
-            self.books.redial();
+            self.books.record_redial();
             self.later(pause, Due::Redial(intent));
         } else {
             self.finish(intent, how);
@@ -455,22 +462,22 @@
             let pause = nanos(self.script.callers.pause.0);
             return self.later(pause, Due::Redial(intent));
         }
-        self.finish(intent, Outcome::Cut);
+        self.finish(intent, CallOutcome::Cut);
     }
 
     /// What became of a caller's call is known.
-    fn finish(&mut self, intent: u64, how: Outcome) {
+    fn finish(&mut self, intent: u64, how: CallOutcome) {
         if let Some(i) = self.intents.remove(&intent) {
             let class = &self.script.classes[i.class];
             let took = i.stood.map(|at| (at - i.first) as f64 * 1e-9);
             let worth = match (how, took) {
-                (Outcome::Stood, Some(t)) if t <= class.aim.0 => class.worth.0,
-                (Outcome::Stood, Some(t)) if t <= class.deadline.0 => class.worth.0 * class.late_worth.0,
+                (CallOutcome::Stood, Some(t)) if t <= class.aim.0 => class.worth.0,
+                (CallOutcome::Stood, Some(t)) if t <= class.deadline.0 => class.worth.0 * class.late_worth.0,
                 _ => 0.0,
             };
-            if how != Outcome::Stood {
+            if how != CallOutcome::Stood {
                 let at = (i.first - self.base) as f64 * 1e-9;
-                self.books.lost(|| Lost {
+                self.books.record_lost_call(|| LostCall {
                     call: format!("{:016x}", i.id),
                     controller: format!("n{}", i.origin),
                     class: class.name.clone(),
@@ -478,9 +485,9 @@
                     how: format!("{how:?}").to_lowercase(),
                 });
             }
-            let late = how == Outcome::Stood && took.is_some_and(|t| t > class.aim.0);
-            let how = if late { Outcome::Late } else { how };
-            self.books.finished(i.class, (i.first - self.base) as f64 * 1e-9, how, worth);
+            let late = how == CallOutcome::Stood && took.is_some_and(|t| t > class.aim.0);
+            let how = if late { CallOutcome::Late } else { how };
+            self.books.record_outcome(i.class, (i.first - self.base) as f64 * 1e-9, how, worth);
         }
     }
 
@@ -492,16 +499,16 @@
             self.release_chain(leg, 16);
         }
         // The caller does not know yet: it keeps a way to be told.
-        self.finish(intent, Outcome::Stood);
+        self.finish(intent, CallOutcome::Stood);
     }
 
     /// Ends the books: what is still open has come to nothing, what stands has stood.
     pub fn close_books(&mut self) {
         for id in self.intents.keys().copied().collect::<Vec<_>>() {
-            let how = self.intents[&id].stood.map_or(self.intents[&id].last, |_| Outcome::Stood);
+            let how = self.intents[&id].stood.map_or(self.intents[&id].last, |_| CallOutcome::Stood);
             self.finish(id, how);
         }
-        self.audit.close(self.now);
+        self.audit.finish(self.now);
     }
 
     /// A connection of callers is gone: what was open on it has no answer.
@@ -526,13 +533,13 @@
             // What crossed the close goes to another controller, and what never came up was never taken.
             let ends = self.terminated[controller].is_some() || !self.running[controller];
             if !up || ends && crossed {
-                self.audit.saw(self.now, Seen::CallerGaveUp { controller, id });
+                self.audit.observe(self.now, Observation::CallerGaveUp { controller, id });
             } else {
-                self.audit.saw(self.now, Seen::CallerLost { controller, id });
+                self.audit.observe(self.now, Observation::CallerDisconnected { controller, id });
             }
             match side.owner {
                 Owner::Transit(leg) => self.child_broke(leg),
-                Owner::Caller(intent) => self.try_ended(intent, Outcome::Failed, None),
+                Owner::Caller(intent) => self.try_ended(intent, CallOutcome::Failed, None),
             }
         }
     }
--- a/rehearsal/src/world/journal.rs
+++ b/rehearsal/src/world/journal.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 
 use super::{nanos, Due, Party, WireId, World, MS};
-use crate::audit::Seen;
+use crate::audit::Observation;
 use crate::script::Seconds;
 
 /// News reach all services of one change within so many seconds of each other.
@@ -92,7 +92,7 @@
             if state != "DELETED" {
                 targets.push(self.target(controller, machine, state, boot));
             }
-            self.audit.saw(self.now, Seen::Told { controller, machine, state });
+            self.audit.observe(self.now, Observation::JournalUpdateSent { controller, machine, state });
         }
         let entry = json!({"pos": 1, "hosts": {"rev": 1, "all": true, "targets": targets}});
         self.services[controller].entries.push(entry.clone());
@@ -102,8 +102,8 @@
     /// Something happened to a machine: the services learn of it within this time.
     pub(super) fn tell_journals(&mut self, machine: usize, state: &'static str, late: [Seconds; 2]) {
         let boot = self.machines[machine].boot;
-        self.books.truth.push((machine, state, boot));
-        let event = self.books.truth.len() - 1;
+        self.books.machine_changes.push((machine, state, boot));
+        let event = self.books.machine_changes.len() - 1;
         let late = late[0].0 + (late[1].0 - late[0].0) * self.rng.random::<f64>();
         for controller in 0..self.nodes.len() {
             let more = SPREAD * self.rng.random::<f64>();
@@ -112,7 +112,7 @@
     }
 
     pub(super) fn journal_learns(&mut self, controller: usize, event: usize) {
-        let (machine, state, boot) = self.books.truth[event];
+        let (machine, state, boot) = self.books.machine_changes[event];
         // News of one machine may overtake each other; what is known to be past is not told any more.
         if self.services[controller].known.get(&machine).is_some_and(|k| k.2 > event) {
             return;
@@ -127,7 +127,10 @@
         }
         self.services[controller].untold.insert(pos, (machine, state));
         if self.services[controller].sound() {
-            self.audit.saw(self.now, Seen::Held { controller, machine, state, again: false });
+            self.audit.observe(
+                self.now,
+                Observation::JournalUpdateAvailable { controller, machine, state, after_outage: false },
+            );
         }
         self.answer_poll(controller, false);
     }
@@ -137,7 +140,10 @@
         if self.services[controller].sound() {
             let untold: Vec<_> = self.services[controller].untold.values().copied().collect();
             for (machine, state) in untold {
-                self.audit.saw(self.now, Seen::Held { controller, machine, state, again: true });
+                self.audit.observe(
+                    self.now,
+                    Observation::JournalUpdateAvailable { controller, machine, state, after_outage: true },
+                );
             }
             self.answer_poll(controller, false);
         }
@@ -206,7 +212,7 @@
         }
         let told = std::mem::take(&mut service.untold);
         for (machine, state) in told.into_values() {
-            self.audit.saw(self.now, Seen::Told { controller, machine, state });
+            self.audit.observe(self.now, Observation::JournalUpdateSent { controller, machine, state });
         }
         let head =
             format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}", body.len());
--- a/rehearsal/src/world/mod.rs
+++ b/rehearsal/src/world/mod.rs
@@ -21,7 +21,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::audit::Auditor;
-use crate::report::Books;
+use crate::report::RunStatistics;
 use crate::script::Script;
 use callers::{Callers, Intent};
 use journal::Service;
@@ -216,7 +216,7 @@
     rng: ChaCha8Rng,
     hash: blake3::Hasher,
     /// What is written down for the report.
-    pub books: Books,
+    pub books: RunStatistics,
     /// What watches the rules.
     pub audit: Auditor,
 }
@@ -235,7 +235,7 @@
         let callers = Callers::new(&script, seed);
         let unit = processor::unit(&script);
         let audit = Auditor::new(&script);
-        let books = Books::new(&script, offers);
+        let books = RunStatistics::new(&script, offers);
         let struck = incidents::struck(&script, stream(2));
         let mut world = World {
             base,
@@ -519,7 +519,7 @@
             Party::Journal => self.journal_asked(controller, wire, &mut inbox),
         };
         if !readable {
-            self.audit.unreadable(self.now, controller);
+            self.audit.malformed_output(self.now, controller);
             return self.hang_up(wire);
         }
         if let Some(w) = self.wires.get_mut(&wire) {
@@ -530,7 +530,7 @@
     fn sample(&mut self) {
         for n in 0..self.nodes.len() {
             let (wait, cold) = (self.nodes[n].wait(), self.nodes[n].cold_state(self.now, &self.script));
-            self.books.sample(self.seconds(), n, wait, cold);
+            self.books.sample_node(self.seconds(), n, wait, cold);
         }
         if self.now < self.offers_until {
             self.later(SEC / 2, Due::Sample);
--- a/rehearsal/src/world/nodes.rs
+++ b/rehearsal/src/world/nodes.rs
@@ -10,7 +10,7 @@
 use super::callers::Owner;
 use super::processor::What;
 use super::{nanos, Due, Party, Reach, WireId, World, MS};
-use crate::audit::Seen;
+use crate::audit::Observation;
 
 /// A leg that is over is known for so long.
 const FORGOTTEN_AFTER: Nanos = 5_000 * MS;
@@ -151,7 +151,10 @@
         // What was said of an attempt on a silent connection, its end included, was not heard.
         let on: Vec<u64> = self.legs.iter().filter(|(_, l)| l.wire == wire).map(|(id, _)| *id).collect();
         for leg in on {
-            self.audit.saw(self.now, Seen::AttemptLost { controller, id: self.legs[&leg].call });
+            self.audit.observe(
+                self.now,
+                Observation::AttemptConnectionLost { controller, id: self.legs[&leg].call },
+            );
             if self.legs[&leg].state == State::Setting {
                 self.call_off(leg);
             }
@@ -179,7 +182,7 @@
                     self.invited(controller, machine, wire, (id, sequence), &message);
                 }
                 StartLine::Request(b"CANCEL") => {
-                    self.audit.saw(self.now, Seen::Cancel { controller, id });
+                    self.audit.observe(self.now, Observation::CancelToNode { controller, id });
                     say(&mut out, format_args!("SIP/2.0 200 OK"), id, (sequence, "CANCEL"), "", b"");
                     self.send(wire, &out);
                     let leg = self.leg_of.get(&(controller, id)).copied();
@@ -189,7 +192,7 @@
                     }
                 }
                 StartLine::Request(b"BYE") => {
-                    self.audit.saw(self.now, Seen::Bye { controller, id });
+                    self.audit.observe(self.now, Observation::ByeFromController { controller, id });
                     say(&mut out, format_args!("SIP/2.0 200 OK"), id, (sequence, "BYE"), "", b"");
                     self.send(wire, &out);
                     self.released_by_controller(controller, id);
@@ -216,7 +219,7 @@
         let number = message.uri().and_then(|u| u.strip_prefix(b"sip:")?.strip_suffix(b"@net"));
         let number = String::from_utf8_lossy(number.unwrap_or_default()).into_owned();
         let (class, wait) = (text("X-Service"), text("X-Setup-Ms").parse::<u64>().unwrap_or(0) * MS);
-        let seen = Seen::Invite {
+        let seen = Observation::InviteToNode {
             controller,
             node,
             machine,
@@ -225,7 +228,7 @@
             number: &number,
             description: message.body,
         };
-        self.audit.saw(self.now, seen);
+        self.audit.observe(self.now, seen);
         let Some(side) = self.callers.sides.get(&(controller, call)) else { return };
         let (owner, destination, class) = (side.owner, side.destination, side.class);
         let id = self.next_leg;
@@ -331,7 +334,7 @@
     fn fall_over(&mut self, node: usize) {
         let machine = self.serving[node];
         let from: Vec<usize> = self.nodes[node].lately.iter().map(|(_, c)| *c).collect();
-        self.audit.fell_over(self.now, machine, node, &from);
+        self.audit.cold_processor_crashed(self.now, machine, node, &from);
         self.nodes[node].fallen = true;
         self.stop_node(node, Reach::Refused);
         let late = self.script.journal.silent;
@@ -404,7 +407,10 @@
         (l.state, l.refused_by) = (State::Over, cause);
         let (wire, call, sequence, controller) = (l.wire, l.call, l.sequence, l.controller);
         if self.arrives(wire) {
-            self.audit.saw(self.now, Seen::Response { controller, id: call, code, cause, description: b"" });
+            self.audit.observe(
+                self.now,
+                Observation::ResponseFromNode { controller, id: call, code, cause, description: b"" },
+            );
         }
         let mut out = Vec::new();
         let further = if cause.is_empty() { String::new() } else { format!("X-Cause: {cause}\r\n") };
@@ -427,9 +433,15 @@
             self.send(wire, &out);
             return self.call_off(leg);
         }
-        let seen = Seen::Response { controller, id: call, code: 200, cause: "", description: &answer };
+        let seen = Observation::ResponseFromNode {
+            controller,
+            id: call,
+            code: 200,
+            cause: "",
+            description: &answer,
+        };
         if self.arrives(wire) {
-            self.audit.saw(self.now, seen);
+            self.audit.observe(self.now, seen);
         }
         self.send(wire, &out);
         if spoilt {
@@ -508,7 +520,7 @@
             return m.unsaid.entry(controller).or_default().push((id, cause));
         };
         self.machines[machine].unanswered.insert(id, (wire, cause));
-        self.audit.saw(self.now, Seen::Released { controller, id, cause });
+        self.audit.observe(self.now, Observation::ByeFromNode { controller, id, cause });
         let further = format!("Reason: Q.850;cause={cause}\r\n");
         let mut out = Vec::new();
         say(&mut out, format_args!("BYE sip:call@net SIP/2.0"), id, (2, "BYE"), &further, b"");
@@ -545,7 +557,7 @@
             if self.machines[machine].reach == Reach::Up {
                 self.say_release(own, machine, call, cause);
             }
-            self.audit.saw(self.now, Seen::Over { controller: own, id: call });
+            self.audit.observe(self.now, Observation::CallEndedAtNode { controller: own, id: call });
             self.free_circuits(id);
         }
     }
--- a/rehearsal/src/world/processor.rs
+++ b/rehearsal/src/world/processor.rs
@@ -205,7 +205,7 @@
         let wait = n.pending / n.pace(self.now, &self.script);
         let full = n.hung == 0 && wait > self.script.processor.turn_away.0;
         if full {
-            self.books.turned_away(node);
+            self.books.record_turned_away(node);
             self.job(node, self.script.processor.refusal.0, What::Other);
         }
         full
--- a/rehearsal/tests/auditor.rs
+++ b/rehearsal/tests/auditor.rs
@@ -5,18 +5,18 @@
 
 use common::{Fault, Naive};
 use rehearsal::audit::Rule;
-use rehearsal::report::Run;
+use rehearsal::report::RunReport;
 use rehearsal::script::Script;
 
 /// Plays naive controllers with a fault through some seconds.
-fn play(fault: Fault, more: &str) -> Run {
+fn play(fault: Fault, more: &str) -> RunReport {
     let text = format!("{{ name: 'faulty', seconds: 12, nodes: 4, planned_calls: 24, load: 0.5, {more} }}");
     let script = Script::parse("faulty", &text).unwrap();
     let make = &mut |now, config: &str| Naive::start(fault, now, config);
     rehearsal::rehearse_once(&script, 3, false, None, make).unwrap().0
 }
 
-fn count(run: &Run, rule: Rule) -> u64 {
+fn count(run: &RunReport, rule: Rule) -> u64 {
     let name = serde_json::to_value(rule).unwrap();
     run.rules_broken[name.as_str().unwrap()]
 }
--- a/rehearsal/tests/dimension.rs
+++ b/rehearsal/tests/dimension.rs
@@ -81,7 +81,7 @@
 }
 
 /// Calls of a class offered and lost in a run.
-fn lost(run: &rehearsal::report::Run, class: &str) -> (f64, f64) {
+fn lost(run: &rehearsal::report::RunReport, class: &str) -> (f64, f64) {
     let c = &run.classes[class].calls;
     (c.offered as f64, (c.refused + c.failed) as f64)
 }
