--- a/ctl/src/main.rs
+++ b/ctl/src/main.rs
@@ -201,18 +201,18 @@
                     rehearsal::rehearse(&script, seed, runs as usize, threads as usize, short)?
                 }
                 (Clock::Virtual, trace) => {
-                    let engine = &mut virtual_clock::engine;
+                    let engine = &mut virtual_clock::new_engine;
                     let (run, lines) = rehearsal::rehearse_once(&script, seed, short, trace, engine)?;
                     lines.iter().for_each(|line| println!("{line}"));
                     Report::new(&script, "virtual", seconds, vec![run])
                 }
                 (Clock::Wall, trace) => {
                     let played = (0..u64::from(runs)).map(|run| {
-                        let options = wall_clock::Options { short, trace, logs: None };
+                        let options = wall_clock::RunOptions { short, trace, logs: None };
                         let played = wall_clock::rehearse_once(&script, seed + run, &program, &options)?;
-                        played.traced.iter().for_each(|line| println!("{line}"));
+                        played.trace.iter().for_each(|line| println!("{line}"));
                         let late = played.lateness;
-                        if late.too_late() {
+                        if late.is_unreliable() {
                             eprintln!("dillholdctl: this machine was too busy: {late:?}");
                         }
                         Ok(played.run)
--- a/rehearsal/src/lib.rs
+++ b/rehearsal/src/lib.rs
@@ -26,8 +26,8 @@
 use measured::record::Interval;
 use report::{Report, RunReport};
 use script::Script;
-use virtual_clock::Make;
-use world::{nanos, World};
+use virtual_clock::ControllerFactory;
+use world::{seconds_to_nanos, World};
 
 /// Seconds in which calls are offered, in full or in the short form.
 pub fn offering_seconds(script: &Script, short: bool) -> f64 {
@@ -41,16 +41,16 @@
     seed: u64,
     short: bool,
     trace: Option<u64>,
-    make: Make<'_>,
+    make: ControllerFactory<'_>,
 ) -> Result<(RunReport, Vec<String>), String> {
-    let offers = nanos(offering_seconds(script, short));
-    let addresses = Box::new(virtual_clock::address);
-    let mut world = World::new(script.clone(), seed, virtual_clock::BEGINS, offers, addresses);
-    trace.into_iter().for_each(|call| world.audit.trace_call(call));
-    let (world, _) = virtual_clock::play(world, make)?;
+    let offers = seconds_to_nanos(offering_seconds(script, short));
+    let addresses = Box::new(virtual_clock::endpoint_address);
+    let mut world = World::new(script.clone(), seed, virtual_clock::START_TIME, offers, addresses);
+    trace.into_iter().for_each(|call| world.auditor.trace_call(call));
+    let (world, _) = virtual_clock::run(world, make)?;
     Ok((
-        RunReport::new(script, seed, &world.books, &world.audit, world.digest()),
-        world.audit.trace_lines().to_vec(),
+        RunReport::new(script, seed, &world.statistics, &world.auditor, world.digest()),
+        world.auditor.trace_lines().to_vec(),
     ))
 }
 
@@ -66,12 +66,13 @@
 
 /// Plays a script once on the virtual clock with controllers that measure by this calendar.
 pub fn rehearse_measured(script: &Script, seed: u64, calendar: &Calendar) -> Result<Measured, String> {
-    let offers = nanos(script.seconds.0);
-    let addresses = Box::new(virtual_clock::address);
-    let world = World::new(script.clone(), seed, virtual_clock::BEGINS, offers, addresses);
-    let offered = world.offered();
-    let (world, intervals) = virtual_clock::play(world, &mut virtual_clock::measuring(calendar.clone()))?;
-    let run = RunReport::new(script, seed, &world.books, &world.audit, world.digest());
+    let offers = seconds_to_nanos(script.seconds.0);
+    let addresses = Box::new(virtual_clock::endpoint_address);
+    let world = World::new(script.clone(), seed, virtual_clock::START_TIME, offers, addresses);
+    let offered = world.offered_load();
+    let (world, intervals) =
+        virtual_clock::run(world, &mut virtual_clock::new_measuring_engine(calendar.clone()))?;
+    let run = RunReport::new(script, seed, &world.statistics, &world.auditor, world.digest());
     Ok(Measured { run, intervals, offered })
 }
 
@@ -93,7 +94,7 @@
                     return;
                 }
                 let result =
-                    rehearse_once(script, seed + run as u64, short, None, &mut virtual_clock::engine);
+                    rehearse_once(script, seed + run as u64, short, None, &mut virtual_clock::new_engine);
                 done.lock().expect("no holder panics").push((run, result));
             });
         }
--- a/rehearsal/src/report.rs
+++ b/rehearsal/src/report.rs
@@ -351,7 +351,7 @@
             hash.update(run.digest.as_bytes());
         }
         let bands = script.events.iter().filter(|e| e.at.0 < seconds).map(|e| {
-            let to = if e.lasts.is_some() { e.ends() } else { e.at.0 + script.aftermath(e) };
+            let to = if e.lasts.is_some() { e.end_seconds() } else { e.at.0 + script.recovery_seconds(e) };
             Band { kind: e.kind.name().into(), from: e.at.0, to: to.min(seconds) }
         });
         Report {
--- a/rehearsal/src/script.rs
+++ b/rehearsal/src/script.rs
@@ -229,7 +229,7 @@
 /// What happens to the nodes, connections, services and callers that an event strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum EventKind {
     /// The processor stops (its calls are cut), and starts again cold under the same id after `down` seconds.
     RestartCold,
     /// The node drains for `drain` seconds and goes; a new one under a new id takes its place, cold.
@@ -277,58 +277,58 @@
     BadCallers,
 }
 
-impl Kind {
+impl EventKind {
     /// Its name in scripts.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::RestartCold => "restart-cold",
-            Kind::Replace => "replace",
-            Kind::Drain => "drain",
-            Kind::Hang => "hang",
-            Kind::Pauses => "pauses",
-            Kind::Slow => "slow",
-            Kind::Vanish => "vanish",
-            Kind::LoseCircuits => "lose-circuits",
-            Kind::SilentConnections => "silent-connections",
-            Kind::ResetConnections => "reset-connections",
-            Kind::JournalBroken => "journal-broken",
-            Kind::JournalSilent => "journal-silent",
-            Kind::ControllerKilled => "controller-killed",
-            Kind::ControllerRestarted => "controller-restarted",
-            Kind::Demand => "demand",
-            Kind::IgnoreAdvice => "ignore-advice",
-            Kind::ControllerReloaded => "controller-reloaded",
-            Kind::CutOff => "cut-off",
-            Kind::NoNewConnections => "no-new-connections",
-            Kind::JournalSlow => "journal-slow",
-            Kind::SpoiltAnswers => "spoilt-answers",
-            Kind::BadCallers => "bad-callers",
+            EventKind::RestartCold => "restart-cold",
+            EventKind::Replace => "replace",
+            EventKind::Drain => "drain",
+            EventKind::Hang => "hang",
+            EventKind::Pauses => "pauses",
+            EventKind::Slow => "slow",
+            EventKind::Vanish => "vanish",
+            EventKind::LoseCircuits => "lose-circuits",
+            EventKind::SilentConnections => "silent-connections",
+            EventKind::ResetConnections => "reset-connections",
+            EventKind::JournalBroken => "journal-broken",
+            EventKind::JournalSilent => "journal-silent",
+            EventKind::ControllerKilled => "controller-killed",
+            EventKind::ControllerRestarted => "controller-restarted",
+            EventKind::Demand => "demand",
+            EventKind::IgnoreAdvice => "ignore-advice",
+            EventKind::ControllerReloaded => "controller-reloaded",
+            EventKind::CutOff => "cut-off",
+            EventKind::NoNewConnections => "no-new-connections",
+            EventKind::JournalSlow => "journal-slow",
+            EventKind::SpoiltAnswers => "spoilt-answers",
+            EventKind::BadCallers => "bad-callers",
         }
     }
 
     /// Keys beside `at`, `kind` and those that say what is struck: the required ones, then the others.
     fn keys(self) -> (&'static [&'static str], &'static [&'static str]) {
         match self {
-            Kind::RestartCold => (&[], &["down", "stagger"]),
-            Kind::Replace => (&[], &["drain", "down", "same_address", "stagger"]),
-            Kind::Drain => (&["for"], &["drain"]),
-            Kind::Hang
-            | Kind::Vanish
-            | Kind::JournalBroken
-            | Kind::JournalSilent
-            | Kind::IgnoreAdvice
-            | Kind::CutOff
-            | Kind::SpoiltAnswers
-            | Kind::NoNewConnections => (&["for"], &[]),
-            Kind::JournalSlow => (&["for", "length"], &[]),
-            Kind::BadCallers => (&["for", "every"], &[]),
-            Kind::Pauses => (&["for", "every", "length"], &[]),
-            Kind::Slow => (&["for", "factor"], &[]),
-            Kind::LoseCircuits => (&["for", "kept"], &[]),
-            Kind::SilentConnections | Kind::ResetConnections => (&[], &[]),
-            Kind::ControllerKilled => (&[], &["down", "stagger"]),
-            Kind::ControllerRestarted | Kind::ControllerReloaded => (&[], &["stagger"]),
-            Kind::Demand => (&["for", "times"], &[]),
+            EventKind::RestartCold => (&[], &["down", "stagger"]),
+            EventKind::Replace => (&[], &["drain", "down", "same_address", "stagger"]),
+            EventKind::Drain => (&["for"], &["drain"]),
+            EventKind::Hang
+            | EventKind::Vanish
+            | EventKind::JournalBroken
+            | EventKind::JournalSilent
+            | EventKind::IgnoreAdvice
+            | EventKind::CutOff
+            | EventKind::SpoiltAnswers
+            | EventKind::NoNewConnections => (&["for"], &[]),
+            EventKind::JournalSlow => (&["for", "length"], &[]),
+            EventKind::BadCallers => (&["for", "every"], &[]),
+            EventKind::Pauses => (&["for", "every", "length"], &[]),
+            EventKind::Slow => (&["for", "factor"], &[]),
+            EventKind::LoseCircuits => (&["for", "kept"], &[]),
+            EventKind::SilentConnections | EventKind::ResetConnections => (&[], &[]),
+            EventKind::ControllerKilled => (&[], &["down", "stagger"]),
+            EventKind::ControllerRestarted | EventKind::ControllerReloaded => (&[], &["stagger"]),
+            EventKind::Demand => (&["for", "times"], &[]),
         }
     }
 }
@@ -336,14 +336,14 @@
 /// One event of the timeline.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Event {
+pub struct ScriptEvent {
     /// When it begins, in seconds from the start.
     pub at: Seconds,
     /// How long it lasts, in seconds.
     #[serde(rename = "for")]
     pub lasts: Option<Seconds>,
     /// What it is.
-    pub kind: Kind,
+    pub kind: EventKind,
     /// The nodes struck, by name.
     pub nodes: Option<Vec<String>>,
     /// All nodes of these regions are struck.
@@ -370,9 +370,9 @@
     pub times: Option<Factor>,
 }
 
-impl Event {
+impl ScriptEvent {
     /// When it ends, in seconds from the start; with no `for`, as soon as it has begun.
-    pub fn ends(&self) -> f64 {
+    pub fn end_seconds(&self) -> f64 {
         self.at.0 + self.lasts.map_or(0.0, |s| s.0)
     }
 
@@ -450,7 +450,7 @@
     pub controllers: Controllers,
     /// The incident.
     #[serde(default)]
-    pub events: Vec<Event>,
+    pub events: Vec<ScriptEvent>,
 }
 
 fn run_out() -> Seconds {
@@ -497,12 +497,12 @@
 
     /// Seconds from the beginning of an event that has no `for` until what it struck is whole again, one node
     /// struck.
-    pub fn aftermath(&self, event: &Event) -> f64 {
+    pub fn recovery_seconds(&self, event: &ScriptEvent) -> f64 {
         let down = event.down.map_or(DOWN, |d| d.0);
         match event.kind {
-            Kind::RestartCold => down + self.processor.cold_for.0,
-            Kind::Replace => event.drain.map_or(DRAIN, |d| d.0) + down + self.processor.cold_for.0,
-            Kind::ControllerKilled => down,
+            EventKind::RestartCold => down + self.processor.cold_for.0,
+            EventKind::Replace => event.drain.map_or(DRAIN, |d| d.0) + down + self.processor.cold_for.0,
+            EventKind::ControllerKilled => down,
             _ => 0.0,
         }
     }
@@ -594,7 +594,7 @@
         Ok(())
     }
 
-    fn check_event(&self, event: &Event) -> Result<(), (&'static str, String)> {
+    fn check_event(&self, event: &ScriptEvent) -> Result<(), (&'static str, String)> {
         let name = event.kind.name();
         let (required, others) = event.kind.keys();
         for (key, given) in event.given() {
@@ -605,7 +605,7 @@
                 return Err(("", format!("'{name}' needs the key `{key}`")));
             }
         }
-        if event.ends() > self.seconds.0 {
+        if event.end_seconds() > self.seconds.0 {
             let key = if event.at.0 > self.seconds.0 { "at" } else { "for" };
             let end = self.seconds.0;
             return Err((key, format!("the event goes on past the end of the script, {end} s")));
@@ -627,7 +627,7 @@
                 return Err(("regions", format!("there is no region '{region}', only {all}")));
             }
         }
-        if event.kind == Kind::LoseCircuits && event.nodes.is_some() {
+        if event.kind == EventKind::LoseCircuits && event.nodes.is_some() {
             return Err(("nodes", "groups are lost between regions: name `regions`".into()));
         }
         if event.every.is_some() && event.length > event.every {
--- a/rehearsal/src/soak/mod.rs
+++ b/rehearsal/src/soak/mod.rs
@@ -78,7 +78,7 @@
 
 fn play_one(asked: &Asked, seed: u64, script: &Script) -> Result<(RunReport, Lateness), String> {
     let logs = asked.logs.as_ref().map(|folder| folder.join(format!("seed-{seed}")));
-    let options = wall_clock::Options { short: false, trace: None, logs: logs.clone() };
+    let options = wall_clock::RunOptions { short: false, trace: None, logs: logs.clone() };
     let played = wall_clock::rehearse_once(script, seed, &asked.program, &options)?;
     let kept = played.run.rules_broken.values().all(|n| *n == 0);
     if let Some(folder) = logs.filter(|_| kept) {
@@ -94,7 +94,7 @@
 impl Soak {
     fn add(&mut self, seed: u64, run: &RunReport, lateness: Lateness) {
         self.runs += 1;
-        if lateness.too_late() {
+        if lateness.is_unreliable() {
             return self.late.push(seed);
         }
         for rule in Rule::ALL {
--- a/rehearsal/src/virtual_clock.rs
+++ b/rehearsal/src/virtual_clock.rs
@@ -13,7 +13,7 @@
 use crate::world::{Act, Party, Reach, Signal, WireId, World, MS};
 
 /// The Unix time at which every rehearsal begins.
-pub const BEGINS: Nanos = 1_800_000_000_000 * MS;
+pub const START_TIME: Nanos = 1_800_000_000_000 * MS;
 /// The time that bytes take between a controller and a party of the world.
 const LATENCY: Nanos = MS / 20;
 /// Turns are no further apart than this on account of the tick, as in the real driver.
@@ -89,17 +89,19 @@
 }
 
 /// Starts a controller from its configuration.
-pub type Make<'a> = &'a mut dyn FnMut(Nanos, &str) -> Result<Box<dyn Controller>, String>;
+pub type ControllerFactory<'a> = &'a mut dyn FnMut(Nanos, &str) -> Result<Box<dyn Controller>, String>;
 
 /// Starts the real thing.
-pub fn engine(now: Nanos, config: &str) -> Result<Box<dyn Controller>, String> {
+pub fn new_engine(now: Nanos, config: &str) -> Result<Box<dyn Controller>, String> {
     let config = read_config(config)?;
     let told = read_settings(&config)?;
     Ok(Box::new(Engine::new(now, config, told)?))
 }
 
 /// Starts the real thing, which measures by a calendar.
-pub fn measuring(calendar: Calendar) -> impl FnMut(Nanos, &str) -> Result<Box<dyn Controller>, String> {
+pub fn new_measuring_engine(
+    calendar: Calendar,
+) -> impl FnMut(Nanos, &str) -> Result<Box<dyn Controller>, String> {
     move |now, config| {
         let config = read_config(config)?;
         let told = read_settings(&config)?;
@@ -110,7 +112,7 @@
 }
 
 /// The made-up address of a party as a controller reaches it.
-pub fn address(controller: usize, party: Party) -> SocketAddr {
+pub fn endpoint_address(controller: usize, party: Party) -> SocketAddr {
     let port = match party {
         Party::Callers | Party::BadCaller => PORTS[0],
         Party::Journal => PORTS[1],
@@ -163,15 +165,15 @@
     turns: BTreeSet<(Nanos, usize)>,
     /// All take equally long, so they arrive in the order in which they were sent.
     deliveries: VecDeque<(Nanos, Delivery)>,
-    make: Make<'a>,
+    make: ControllerFactory<'a>,
     intervals: Vec<Interval>,
 }
 
 /// Plays a world to its end; tells the intervals that controllers measured, too.
-pub fn play(world: World, make: Make<'_>) -> Result<(World, Vec<Interval>), String> {
+pub fn run(world: World, make: ControllerFactory<'_>) -> Result<(World, Vec<Interval>), String> {
     let hosts = (0..world.controllers()).map(|_| Host::default()).collect();
     let (turns, deliveries) = (BTreeSet::new(), VecDeque::new());
-    let mut clock = Clock { now: BEGINS, world, hosts, turns, deliveries, make, intervals: Vec::new() };
+    let mut clock = Clock { now: START_TIME, world, hosts, turns, deliveries, make, intervals: Vec::new() };
     clock.acts()?;
     while clock.step()? {}
     let until = clock.world.until();
--- a/rehearsal/src/wall_clock.rs
+++ b/rehearsal/src/wall_clock.rs
@@ -19,7 +19,7 @@
 
 use crate::report::RunReport;
 use crate::script::Script;
-use crate::world::{nanos, Act, Party, Reach, Signal, WireId, World, MS, SEC};
+use crate::world::{seconds_to_nanos, Act, Party, Reach, Signal, WireId, World, MS, SEC};
 
 /// From the start of the processes to the first call.
 const HEAD_START: Nanos = 2 * SEC;
@@ -174,7 +174,7 @@
 
 /// How a script is played.
 #[derive(Clone, Debug, Default)]
-pub struct Options {
+pub struct RunOptions {
     /// Its short form.
     pub short: bool,
     /// A call of which everything is written down.
@@ -189,30 +189,30 @@
     /// Steps of the driver, and how many of them came late.
     pub steps: u64,
     /// See [`Lateness::steps`].
-    pub late: u64,
+    pub late_steps: u64,
     /// The longest that a step came late.
-    pub longest: Nanos,
+    pub max_lateness: Nanos,
 }
 
 impl Lateness {
     fn step(&mut self, late_by: Nanos) {
         self.steps += 1;
-        self.late += u64::from(late_by > LATE);
-        self.longest = self.longest.max(late_by);
+        self.late_steps += u64::from(late_by > LATE);
+        self.max_lateness = self.max_lateness.max(late_by);
     }
 
     /// Whether what the machine did to the driver may have broken a rule: the slack of the rules was used up.
-    pub fn too_late(&self) -> bool {
-        self.longest > SOCKET_DELAY_ALLOWANCE || self.late * 100 > self.steps
+    pub fn is_unreliable(&self) -> bool {
+        self.max_lateness > SOCKET_DELAY_ALLOWANCE || self.late_steps * 100 > self.steps
     }
 }
 
 /// A script that was played.
-pub struct Played {
+pub struct RunResult {
     /// What it came to.
     pub run: RunReport,
     /// What was written down of the call that was asked for.
-    pub traced: Vec<String>,
+    pub trace: Vec<String>,
     /// How far behind the driver was.
     pub lateness: Lateness,
 }
@@ -222,8 +222,8 @@
     script: &Script,
     seed: u64,
     program: &Path,
-    options: &Options,
-) -> Result<Played, String> {
+    options: &RunOptions,
+) -> Result<RunResult, String> {
     if script.nodes > MOST_NODES {
         return Err(format!("{} nodes: --clock wall plays up to {MOST_NODES}", script.nodes));
     }
@@ -240,9 +240,9 @@
         Box::new(move |controller, party| doors.borrow_mut().address(controller, party))
     };
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_err(text("the time"))?.as_nanos() as Nanos;
-    let offers = nanos(crate::offering_seconds(script, options.short));
+    let offers = seconds_to_nanos(crate::offering_seconds(script, options.short));
     let mut world = World::new(script.clone(), seed, unix + HEAD_START, offers, addresses);
-    options.trace.into_iter().for_each(|call| world.audit.trace_call(call));
+    options.trace.into_iter().for_each(|call| world.auditor.trace_call(call));
     let nodes = world.controllers();
     let mut driver = Driver {
         poll: Poll::new().map_err(text("epoll"))?,
@@ -263,8 +263,8 @@
     let lateness = driver.play()?;
     let world = &mut driver.world;
     world.close_books();
-    let run = RunReport::new(script, seed, &world.books, &world.audit, world.digest());
-    Ok(Played { run, traced: world.audit.trace_lines().to_vec(), lateness })
+    let run = RunReport::new(script, seed, &world.statistics, &world.auditor, world.digest());
+    Ok(RunResult { run, trace: world.auditor.trace_lines().to_vec(), lateness })
 }
 
 impl Driver<'_> {
--- a/rehearsal/src/world/bad_callers.rs
+++ b/rehearsal/src/world/bad_callers.rs
@@ -5,7 +5,7 @@
 use pitchgw::interface::Nanos;
 use rand::Rng;
 
-use super::{nanos, Act, Due, Party, WireId, World, SEC};
+use super::{seconds_to_nanos, Act, Due, Party, WireId, World, SEC};
 use crate::audit::Observation;
 
 /// A bad caller has to be told something, or to be closed, within this time.
@@ -52,12 +52,12 @@
     pub(super) fn bad_caller(&mut self, event: usize, controller: usize) {
         let (every, ends) = {
             let event = &self.script.events[event];
-            (event.every.map_or(1.0, |every| every.0), event.ends())
+            (event.every.map_or(1.0, |every| every.0), event.end_seconds())
         };
         if self.seconds() >= ends {
             return;
         }
-        self.later(nanos(every), Due::BadCaller(event, controller));
+        self.later(seconds_to_nanos(every), Due::BadCaller(event, controller));
         if !self.running[controller] || !self.fronted[controller] {
             return;
         }
@@ -86,7 +86,7 @@
         let Some(told) = self.bad_callers.remove(&wire) else { return };
         let Some(controller) = self.wires.get(&wire).filter(|w| w.up).map(|w| w.controller) else { return };
         if !told && self.terminated[controller].is_none() {
-            self.audit.observe(self.now, Observation::BadCallerIgnored { controller });
+            self.auditor.observe(self.now, Observation::BadCallerIgnored { controller });
         }
         self.hang_up(wire);
     }
--- a/rehearsal/src/world/callers.rs
+++ b/rehearsal/src/world/callers.rs
@@ -11,7 +11,7 @@
 use rand_distr::{Distribution, Exp1};
 
 use super::processor::What;
-use super::{nanos, Act, Due, Party, WireId, World, MS, RECONNECT};
+use super::{seconds_to_nanos, Act, Due, Party, WireId, World, MS, RECONNECT};
 use crate::audit::{Observation, ANSWER_GRACE};
 use crate::report::{CallOutcome, LostCall};
 use crate::script::Script;
@@ -134,7 +134,7 @@
         let draw: f64 = Exp1.sample(&mut self.callers.streams[origin]);
         let gap = draw / rate.max(1e-9);
         self.callers.real[origin] = gap <= REDRAW;
-        self.later(nanos(gap.min(REDRAW)), Due::Arrival(origin));
+        self.later(seconds_to_nanos(gap.min(REDRAW)), Due::Arrival(origin));
     }
 
     pub(super) fn arrival(&mut self, origin: usize) {
@@ -157,7 +157,7 @@
                 origin,
                 destination: self.network.destination(origin, rng.random()),
                 first: self.now,
-                hold: nanos(hold * script.classes[class].hold.0),
+                hold: seconds_to_nanos(hold * script.classes[class].hold.0),
                 number: rng.random(),
                 heeds: rng.random::<f64>() < script.callers.heed.0,
                 again: rng.random::<f64>() < script.callers.cut_again.0,
@@ -169,7 +169,7 @@
             };
             let id = self.callers.next_intent;
             self.callers.next_intent += 1;
-            self.books.record_offered(class, self.seconds());
+            self.statistics.record_offered(class, self.seconds());
             self.intents.insert(id, intent);
             self.dial(id);
         }
@@ -180,8 +180,8 @@
     pub(super) fn dial(&mut self, intent: u64) {
         let Some(i) = self.intents.get_mut(&intent) else { return };
         let class = &self.script.classes[i.class];
-        let gives_up = i.first + nanos(class.deadline.0);
-        let (now, patience) = (self.now, nanos(class.deadline.0 * self.script.callers.patience.0));
+        let gives_up = i.first + seconds_to_nanos(class.deadline.0);
+        let (now, patience) = (self.now, seconds_to_nanos(class.deadline.0 * self.script.callers.patience.0));
         let wait = patience.min(gives_up.saturating_sub(now));
         i.tries += 1;
         i.id = self.rng.random::<u64>().max(1);
@@ -248,7 +248,7 @@
         let side =
             Side { owner, destination, class, stands: false, wire, sent, resent: false, message: Vec::new() };
         self.callers.sides.insert((controller, id), side);
-        self.audit.observe(
+        self.auditor.observe(
             self.now,
             Observation::SetUpFromCaller {
                 controller,
@@ -356,12 +356,13 @@
             match kind {
                 kind::ANSWER => {
                     let description = &description;
-                    self.audit.observe(self.now, Observation::AnswerToCaller { controller, id, description });
+                    self.auditor
+                        .observe(self.now, Observation::AnswerToCaller { controller, id, description });
                     self.side_answered(controller, id, description);
                 }
                 kind::RELEASE => {
                     let pause = pause.map(|ms: u64| ms * MS);
-                    self.audit.observe(
+                    self.auditor.observe(
                         self.now,
                         Observation::ReleaseToCaller { controller, id, cause, retry_after: pause },
                     );
@@ -377,7 +378,7 @@
         side.stands = true;
         let took = self.now - side.sent;
         if matches!(side.owner, Owner::Caller(_)) {
-            self.books.record_set_up_time(took);
+            self.statistics.record_set_up_time(took);
         }
         match side.owner {
             Owner::Transit(leg) => self.child_answered(leg, description),
@@ -414,7 +415,7 @@
         };
         let (controller, id) = (i.origin, i.id);
         let Some(side) = self.callers.sides.remove(&(controller, id)) else { return };
-        self.audit.observe(self.now, Observation::CallerGaveUp { controller, id });
+        self.auditor.observe(self.now, Observation::CallerGaveUp { controller, id });
         self.release_to(controller, side.wire, id);
         self.try_ended(intent, CallOutcome::Failed, None);
     }
@@ -431,7 +432,7 @@
     pub(super) fn release_transit(&mut self, controller: usize, id: u64) {
         if let Some(side) = self.callers.sides.remove(&(controller, id)) {
             if !side.stands {
-                self.audit.observe(self.now, Observation::CallerGaveUp { controller, id });
+                self.auditor.observe(self.now, Observation::CallerGaveUp { controller, id });
             }
             self.release_to(controller, side.wire, id);
         }
@@ -442,11 +443,11 @@
         let Some(i) = self.intents.get_mut(&intent) else { return };
         i.last = how;
         let heeds = i.heeds && self.callers.ignoring == 0;
-        let own = nanos(self.script.callers.pause.0);
+        let own = seconds_to_nanos(self.script.callers.pause.0);
         let pause = advice.filter(|_| heeds).unwrap_or(own);
-        let gives_up = i.first + nanos(self.script.classes[i.class].deadline.0);
+        let gives_up = i.first + seconds_to_nanos(self.script.classes[i.class].deadline.0);
         if i.tries <= self.script.callers.redials && self.now + pause < gives_up {
-            self.books.record_redial();
+            self.statistics.record_redial();
             self.later(pause, Due::Redial(intent));
         } else {
             self.finish(intent, how);
@@ -459,7 +460,7 @@
         self.callers.sides.remove(&(i.origin, i.id));
         if i.again && !i.cut_before {
             (i.cut_before, i.stood, i.tries, i.first) = (true, None, 0, self.now);
-            let pause = nanos(self.script.callers.pause.0);
+            let pause = seconds_to_nanos(self.script.callers.pause.0);
             return self.later(pause, Due::Redial(intent));
         }
         self.finish(intent, CallOutcome::Cut);
@@ -477,7 +478,7 @@
             };
             if how != CallOutcome::Stood {
                 let at = (i.first - self.base) as f64 * 1e-9;
-                self.books.record_lost_call(|| LostCall {
+                self.statistics.record_lost_call(|| LostCall {
                     call: format!("{:016x}", i.id),
                     controller: format!("n{}", i.origin),
                     class: class.name.clone(),
@@ -487,7 +488,7 @@
             }
             let late = how == CallOutcome::Stood && took.is_some_and(|t| t > class.aim.0);
             let how = if late { CallOutcome::Late } else { how };
-            self.books.record_outcome(i.class, (i.first - self.base) as f64 * 1e-9, how, worth);
+            self.statistics.record_outcome(i.class, (i.first - self.base) as f64 * 1e-9, how, worth);
         }
     }
 
@@ -508,7 +509,7 @@
             let how = self.intents[&id].stood.map_or(self.intents[&id].last, |_| CallOutcome::Stood);
             self.finish(id, how);
         }
-        self.audit.finish(self.now);
+        self.auditor.finish(self.now);
     }
 
     /// A connection of callers is gone: what was open on it has no answer.
@@ -533,9 +534,9 @@
             // What crossed the close goes to another controller, and what never came up was never taken.
             let ends = self.terminated[controller].is_some() || !self.running[controller];
             if !up || ends && crossed {
-                self.audit.observe(self.now, Observation::CallerGaveUp { controller, id });
+                self.auditor.observe(self.now, Observation::CallerGaveUp { controller, id });
             } else {
-                self.audit.observe(self.now, Observation::CallerDisconnected { controller, id });
+                self.auditor.observe(self.now, Observation::CallerDisconnected { controller, id });
             }
             match side.owner {
                 Owner::Transit(leg) => self.child_broke(leg),
--- a/rehearsal/src/world/controllers.rs
+++ b/rehearsal/src/world/controllers.rs
@@ -2,7 +2,7 @@
 
 use pitchgw::interface::Nanos;
 
-use super::{nanos, Act, Due, Signal, Start, WireId, World, MS, RECONNECT, SEC};
+use super::{seconds_to_nanos, Act, Due, Signal, Start, WireId, World, MS, RECONNECT, SEC};
 use crate::audit::Observation;
 
 /// After a controller was told to end callers open new connections to it for so long. On open ones they go on.
@@ -31,7 +31,7 @@
     pub(super) fn ready_due(&mut self, controller: usize, started: Nanos) {
         let start = self.starts[controller];
         if start.at == started && start.missed && !start.reached {
-            self.audit.observe(self.now, Observation::ControllerNotReady { controller });
+            self.auditor.observe(self.now, Observation::ControllerNotReady { controller });
         }
     }
 
@@ -47,7 +47,7 @@
 
     /// The time from SIGTERM to SIGKILL.
     pub(super) fn kill_after(&self) -> Nanos {
-        let longest = self.script.classes.iter().map(|c| nanos(c.deadline.0)).max().unwrap_or(0);
+        let longest = self.script.classes.iter().map(|c| seconds_to_nanos(c.deadline.0)).max().unwrap_or(0);
         longest.min(LONGEST_DEADLINE) + KILL_AFTER_DEADLINE
     }
 
@@ -66,7 +66,8 @@
         self.fronted[controller] = false;
         self.acts.push_back(Act::Kill(controller));
         let terminated = self.terminated[controller];
-        self.audit.observe(self.now, Observation::ControllerKilled { controller, terminated_at: terminated });
+        self.auditor
+            .observe(self.now, Observation::ControllerKilled { controller, terminated_at: terminated });
         self.hang_up_all(controller);
     }
 
@@ -75,16 +76,16 @@
         self.advance(now);
         self.running[controller] = false;
         self.hang_up_all(controller);
-        self.audit.observe(self.now, Observation::ControllerExited { controller });
+        self.auditor.observe(self.now, Observation::ControllerExited { controller });
         self.start_controller(controller);
     }
 
     /// A controller has ended of its own accord.
     pub fn crashed(&mut self, now: Nanos, controller: usize, how: &str) {
         self.advance(now);
-        self.audit.observe(self.now, Observation::ControllerCrashed { controller, exit_status: how });
+        self.auditor.observe(self.now, Observation::ControllerCrashed { controller, exit_status: how });
         self.running[controller] = false;
-        self.audit.observe(self.now, Observation::ControllerKilled { controller, terminated_at: None });
+        self.auditor.observe(self.now, Observation::ControllerKilled { controller, terminated_at: None });
         self.hang_up_all(controller);
         self.start_controller(controller);
     }
@@ -94,7 +95,7 @@
         self.advance(now);
         let limits = &self.script.controllers;
         if memory_mb > u64::from(limits.memory_mb) || descriptors > u64::from(limits.sockets) {
-            self.audit
+            self.auditor
                 .observe(self.now, Observation::ControllerOverLimit { controller, memory_mb, descriptors });
         }
     }
--- a/rehearsal/src/world/incidents.rs
+++ b/rehearsal/src/world/incidents.rs
@@ -8,8 +8,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::nodes::Machine;
-use super::{nanos, Act, Due, Reach, Signal, World, MS};
-use crate::script::{Event, Kind, Script, DOWN, DRAIN};
+use super::{seconds_to_nanos, Act, Due, Reach, Signal, World, MS};
+use crate::script::{EventKind, Script, ScriptEvent, DOWN, DRAIN};
 
 /// Further signals come so long after SIGTERM, by turns SIGTERM, SIGINT and SIGHUP.
 const MORE_SIGNALS: [(Nanos, Signal); 3] =
@@ -31,7 +31,7 @@
 /// The nodes that each event strikes.
 pub(super) fn struck(script: &Script, mut rng: ChaCha8Rng) -> Vec<Vec<usize>> {
     let all: Vec<usize> = (0..script.nodes as usize).collect();
-    let mut draw = |event: &Event| -> Vec<usize> {
+    let mut draw = |event: &ScriptEvent| -> Vec<usize> {
         if let Some(names) = &event.nodes {
             return all.iter().copied().filter(|n| names.contains(&format!("n{n}"))).collect();
         }
@@ -52,19 +52,19 @@
 impl World {
     pub(super) fn schedule_events(&mut self) {
         for (number, event) in self.script.events.clone().into_iter().enumerate() {
-            let at = self.base + nanos(event.at.0);
+            let at = self.base + seconds_to_nanos(event.at.0);
             if at >= self.offers_until {
                 continue; // the short form ends before
             }
-            let stagger = nanos(event.stagger.map_or(0.0, |s| s.0));
+            let stagger = seconds_to_nanos(event.stagger.map_or(0.0, |s| s.0));
             let nodes = match event.kind {
-                Kind::LoseCircuits | Kind::IgnoreAdvice => vec![0],
+                EventKind::LoseCircuits | EventKind::IgnoreAdvice => vec![0],
                 _ => self.struck[number].clone(),
             };
             for (i, node) in nodes.into_iter().enumerate() {
                 self.at(at + stagger * i as Nanos, Due::Event(number, node, Phase::Begin));
                 if let Some(lasts) = event.lasts {
-                    self.at(at + nanos(lasts.0), Due::Event(number, node, Phase::End));
+                    self.at(at + seconds_to_nanos(lasts.0), Due::Event(number, node, Phase::End));
                 }
             }
         }
@@ -72,50 +72,52 @@
 
     pub(super) fn event(&mut self, number: usize, node: usize, phase: Phase) {
         let event = self.script.events[number].clone();
-        let span = |s: Option<crate::script::Seconds>, usual| nanos(s.map_or(usual, |s| s.0));
+        let span = |s: Option<crate::script::Seconds>, usual| seconds_to_nanos(s.map_or(usual, |s| s.0));
         match (event.kind, phase) {
-            (Kind::RestartCold, Phase::Begin) => {
+            (EventKind::RestartCold, Phase::Begin) => {
                 if self.nodes[node].alive {
                     self.stop_node(node, Reach::Refused);
                     self.later(span(event.down, DOWN), Due::Event(number, node, Phase::Start));
                 }
             }
-            (Kind::RestartCold, _) => {
+            (EventKind::RestartCold, _) => {
                 let machine = self.serving[node];
                 self.start_node(node, machine);
             }
             // What does not run has nothing to drain.
-            (Kind::Replace | Kind::Drain, Phase::Begin) if !self.nodes[node].alive => {}
-            (Kind::Replace | Kind::Drain, Phase::Begin) => {
+            (EventKind::Replace | EventKind::Drain, Phase::Begin) if !self.nodes[node].alive => {}
+            (EventKind::Replace | EventKind::Drain, Phase::Begin) => {
                 let (machine, late) = (self.serving[node], self.script.journal.notice);
                 self.tell_journals(machine, "DRAINING", late);
                 self.later(span(event.drain, DRAIN), Due::Event(number, node, Phase::Stop));
             }
-            (Kind::Replace | Kind::Drain, Phase::Stop) => {
+            (EventKind::Replace | EventKind::Drain, Phase::Stop) => {
                 let (machine, late) = (self.serving[node], self.script.journal.notice);
                 self.stop_node(node, Reach::Refused);
                 self.tell_journals(machine, "DELETED", late);
-                if event.kind == Kind::Replace {
+                if event.kind == EventKind::Replace {
                     self.later(span(event.down, DOWN), Due::Event(number, node, Phase::Start));
                 }
             }
-            (Kind::Drain | Kind::Vanish, Phase::End) => self.new_machine(node, false),
-            (Kind::Replace | Kind::Drain, _) => self.new_machine(node, event.same_address == Some(true)),
-            (Kind::Vanish, _) => {
+            (EventKind::Drain | EventKind::Vanish, Phase::End) => self.new_machine(node, false),
+            (EventKind::Replace | EventKind::Drain, _) => {
+                self.new_machine(node, event.same_address == Some(true))
+            }
+            (EventKind::Vanish, _) => {
                 if self.nodes[node].alive {
                     let (machine, late) = (self.serving[node], self.script.journal.silent);
                     self.stop_node(node, Reach::Never);
                     self.tell_journals(machine, "DELETED", late);
                 }
             }
-            (Kind::Hang, _) => {
+            (EventKind::Hang, _) => {
                 self.book_work(node);
                 let hung = &mut self.nodes[node].hung;
                 *hung = if phase == Phase::Begin { *hung + 1 } else { hung.saturating_sub(1) };
                 self.work_on(node);
             }
-            (Kind::Pauses, _) => self.pauses(number, node, phase, &event),
-            (Kind::Slow, _) => {
+            (EventKind::Pauses, _) => self.pauses(number, node, phase, &event),
+            (EventKind::Slow, _) => {
                 self.book_work(node);
                 match (phase, event.factor) {
                     (Phase::Begin, Some(factor)) => self.nodes[node].slow.insert(number, factor.0),
@@ -123,81 +125,81 @@
                 };
                 self.work_on(node);
             }
-            (Kind::LoseCircuits, _) => self.circuits(),
-            (Kind::SilentConnections, _) => {
+            (EventKind::LoseCircuits, _) => self.circuits(),
+            (EventKind::SilentConnections, _) => {
                 for wire in self.wires_to(node) {
                     if let Some(w) = self.wires.get_mut(&wire) {
                         w.mute = true;
                     }
                 }
             }
-            (Kind::ResetConnections, _) => {
+            (EventKind::ResetConnections, _) => {
                 self.wires_to(node).into_iter().for_each(|wire| self.hang_up(wire));
             }
-            (Kind::JournalBroken, Phase::Begin) => {
+            (EventKind::JournalBroken, Phase::Begin) => {
                 self.services[node].broken += 1;
                 self.journal_breaks(node);
             }
-            (Kind::JournalBroken, _) => {
+            (EventKind::JournalBroken, _) => {
                 self.services[node].broken -= 1;
                 self.journal_back(node);
             }
-            (Kind::JournalSilent, Phase::Begin) => self.services[node].silent += 1,
-            (Kind::JournalSilent, _) => {
+            (EventKind::JournalSilent, Phase::Begin) => self.services[node].silent += 1,
+            (EventKind::JournalSilent, _) => {
                 self.services[node].silent -= 1;
                 self.journal_back(node);
             }
-            (Kind::ControllerKilled, Phase::Begin) => {
+            (EventKind::ControllerKilled, Phase::Begin) => {
                 if self.running[node] {
                     self.kill(node);
                     self.later(span(event.down, DOWN), Due::Event(number, node, Phase::Start));
                 }
             }
-            (Kind::ControllerKilled, _) if self.running[node] => {}
-            (Kind::ControllerKilled, _) => self.start_controller(node),
-            (Kind::ControllerRestarted, Phase::Begin) => {
+            (EventKind::ControllerKilled, _) if self.running[node] => {}
+            (EventKind::ControllerKilled, _) => self.start_controller(node),
+            (EventKind::ControllerRestarted, Phase::Begin) => {
                 self.terminate(node);
                 for (after, _) in MORE_SIGNALS {
                     self.later(after, Due::Event(number, node, Phase::Move));
                 }
                 self.later(self.kill_after(), Due::Event(number, node, Phase::Stop));
             }
-            (Kind::ControllerRestarted, Phase::Move) => self.signal_again(node),
-            (Kind::ControllerRestarted, _) => self.kill_terminated(node),
-            (Kind::ControllerReloaded, _) => {
+            (EventKind::ControllerRestarted, Phase::Move) => self.signal_again(node),
+            (EventKind::ControllerRestarted, _) => self.kill_terminated(node),
+            (EventKind::ControllerReloaded, _) => {
                 if self.running[node] {
                     self.acts.push_back(Act::Signal(node, Signal::Reload));
                 }
             }
-            (Kind::CutOff, Phase::Begin) => {
+            (EventKind::CutOff, Phase::Begin) => {
                 self.cut_off[node] += 1;
                 self.hold_wires(node);
             }
-            (Kind::CutOff, _) => {
+            (EventKind::CutOff, _) => {
                 self.cut_off[node] -= 1;
                 self.release_wires(node);
             }
-            (Kind::NoNewConnections, Phase::Begin) => self.unreachable[node] += 1,
-            (Kind::NoNewConnections, _) => self.unreachable[node] -= 1,
-            (Kind::JournalSlow, Phase::Begin) => {
+            (EventKind::NoNewConnections, Phase::Begin) => self.unreachable[node] += 1,
+            (EventKind::NoNewConnections, _) => self.unreachable[node] -= 1,
+            (EventKind::JournalSlow, Phase::Begin) => {
                 let takes = event.length.map_or(0.0, |length| length.0);
                 self.services[node].slow.insert(number, takes);
             }
-            (Kind::JournalSlow, _) => {
+            (EventKind::JournalSlow, _) => {
                 self.services[node].slow.remove(&number);
             }
-            (Kind::SpoiltAnswers, Phase::Begin) => self.spoils[node] += 1,
-            (Kind::SpoiltAnswers, _) => self.spoils[node] -= 1,
-            (Kind::BadCallers, Phase::Begin) => self.bad_caller(number, node),
-            (Kind::BadCallers, _) => {}
-            (Kind::Demand, _) => {
+            (EventKind::SpoiltAnswers, Phase::Begin) => self.spoils[node] += 1,
+            (EventKind::SpoiltAnswers, _) => self.spoils[node] -= 1,
+            (EventKind::BadCallers, Phase::Begin) => self.bad_caller(number, node),
+            (EventKind::BadCallers, _) => {}
+            (EventKind::Demand, _) => {
                 let demand = &mut self.callers.demand[node];
                 match (phase, event.times) {
                     (Phase::Begin, Some(times)) => demand.insert(number, times.0),
                     _ => demand.remove(&number),
                 };
             }
-            (Kind::IgnoreAdvice, _) => {
+            (EventKind::IgnoreAdvice, _) => {
                 let ignoring = &mut self.callers.ignoring;
                 *ignoring = if phase == Phase::Begin { *ignoring + 1 } else { ignoring.saturating_sub(1) };
             }
@@ -235,14 +237,14 @@
         self.say_what_was_unsaid(self.serving[node]);
     }
 
-    fn pauses(&mut self, number: usize, node: usize, phase: Phase, event: &Event) {
+    fn pauses(&mut self, number: usize, node: usize, phase: Phase, event: &ScriptEvent) {
         let Some((every, length)) = event.every.zip(event.length) else { return };
         match phase {
-            Phase::Begin if self.seconds() < event.ends() => {
+            Phase::Begin if self.seconds() < event.end_seconds() => {
                 self.book_work(node);
                 self.nodes[node].paused += 1;
-                self.later(nanos(length.0), Due::Event(number, node, Phase::Move));
-                self.later(nanos(every.0), Due::Event(number, node, Phase::Begin));
+                self.later(seconds_to_nanos(length.0), Due::Event(number, node, Phase::Move));
+                self.later(seconds_to_nanos(every.0), Due::Event(number, node, Phase::Begin));
             }
             Phase::Move => {
                 self.nodes[node].paused = self.nodes[node].paused.saturating_sub(1);
@@ -261,7 +263,7 @@
         self.serving[node] = machine;
         let m = &mut self.machines[machine];
         (m.reach, m.boot) = (Reach::Up, Some(self.now));
-        self.audit.machine_started(self.now, machine);
+        self.auditor.machine_started(self.now, machine);
         let late = self.script.journal.start;
         self.tell_journals(machine, "SERVING", late);
         self.work_on(node);
@@ -281,7 +283,9 @@
     /// Circuits that are left after all losses that hold now; the shares of several multiply.
     fn circuits(&mut self) {
         let now = self.seconds();
-        let holds = |e: &Event| e.kind == Kind::LoseCircuits && e.at.0 <= now && now < e.ends() - 1e-9;
+        let holds = |e: &ScriptEvent| {
+            e.kind == EventKind::LoseCircuits && e.at.0 <= now && now < e.end_seconds() - 1e-9
+        };
         let losses = self.script.events.iter().zip(&self.struck);
         let losses: Vec<(f64, BTreeSet<usize>)> = losses
             .filter(|(e, _)| holds(e))
--- a/rehearsal/src/world/journal.rs
+++ b/rehearsal/src/world/journal.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use serde_json::{json, Value};
 
-use super::{nanos, Due, Party, WireId, World, MS};
+use super::{seconds_to_nanos, Due, Party, WireId, World, MS};
 use crate::audit::Observation;
 use crate::script::Seconds;
 
@@ -92,7 +92,7 @@
             if state != "DELETED" {
                 targets.push(self.target(controller, machine, state, boot));
             }
-            self.audit.observe(self.now, Observation::JournalUpdateSent { controller, machine, state });
+            self.auditor.observe(self.now, Observation::JournalUpdateSent { controller, machine, state });
         }
         let entry = json!({"pos": 1, "hosts": {"rev": 1, "all": true, "targets": targets}});
         self.services[controller].entries.push(entry.clone());
@@ -102,17 +102,17 @@
     /// Something happened to a machine: the services learn of it within this time.
     pub(super) fn tell_journals(&mut self, machine: usize, state: &'static str, late: [Seconds; 2]) {
         let boot = self.machines[machine].boot;
-        self.books.machine_changes.push((machine, state, boot));
-        let event = self.books.machine_changes.len() - 1;
+        self.statistics.machine_changes.push((machine, state, boot));
+        let event = self.statistics.machine_changes.len() - 1;
         let late = late[0].0 + (late[1].0 - late[0].0) * self.rng.random::<f64>();
         for controller in 0..self.nodes.len() {
             let more = SPREAD * self.rng.random::<f64>();
-            self.later(nanos(late + more), Due::Told(controller, event));
+            self.later(seconds_to_nanos(late + more), Due::Told(controller, event));
         }
     }
 
     pub(super) fn journal_learns(&mut self, controller: usize, event: usize) {
-        let (machine, state, boot) = self.books.machine_changes[event];
+        let (machine, state, boot) = self.statistics.machine_changes[event];
         // News of one machine may overtake each other; what is known to be past is not told any more.
         if self.services[controller].known.get(&machine).is_some_and(|k| k.2 > event) {
             return;
@@ -127,7 +127,7 @@
         }
         self.services[controller].untold.insert(pos, (machine, state));
         if self.services[controller].sound() {
-            self.audit.observe(
+            self.auditor.observe(
                 self.now,
                 Observation::JournalUpdateAvailable { controller, machine, state, after_outage: false },
             );
@@ -140,7 +140,7 @@
         if self.services[controller].sound() {
             let untold: Vec<_> = self.services[controller].untold.values().copied().collect();
             for (machine, state) in untold {
-                self.audit.observe(
+                self.auditor.observe(
                     self.now,
                     Observation::JournalUpdateAvailable { controller, machine, state, after_outage: true },
                 );
@@ -205,14 +205,14 @@
         if takes > 0.0 && poll.slow != Slow::Done {
             let number = poll.number;
             if poll.slow == Slow::NotBegun {
-                self.later(nanos(takes), Due::PollWorked(controller, number));
+                self.later(seconds_to_nanos(takes), Due::PollWorked(controller, number));
             }
             self.services[controller].poll = Some(Poll { slow: Slow::Working, ..poll });
             return;
         }
         let told = std::mem::take(&mut service.untold);
         for (machine, state) in told.into_values() {
-            self.audit.observe(self.now, Observation::JournalUpdateSent { controller, machine, state });
+            self.auditor.observe(self.now, Observation::JournalUpdateSent { controller, machine, state });
         }
         let head =
             format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}", body.len());
--- a/rehearsal/src/world/mod.rs
+++ b/rehearsal/src/world/mod.rs
@@ -37,7 +37,7 @@
 const RECONNECT: Nanos = SEC / 5;
 
 /// A span of so many seconds.
-pub fn nanos(seconds: f64) -> Nanos {
+pub fn seconds_to_nanos(seconds: f64) -> Nanos {
     (seconds * 1e9).round() as Nanos
 }
 
@@ -216,9 +216,9 @@
     rng: ChaCha8Rng,
     hash: blake3::Hasher,
     /// What is written down for the report.
-    pub books: RunStatistics,
+    pub statistics: RunStatistics,
     /// What watches the rules.
-    pub audit: Auditor,
+    pub auditor: Auditor,
 }
 
 impl World {
@@ -234,14 +234,14 @@
         let network = Network::new(&script, stream(1));
         let callers = Callers::new(&script, seed);
         let unit = processor::unit(&script);
-        let audit = Auditor::new(&script);
-        let books = RunStatistics::new(&script, offers);
+        let auditor = Auditor::new(&script);
+        let statistics = RunStatistics::new(&script, offers);
         let struck = incidents::struck(&script, stream(2));
         let mut world = World {
             base,
             now: base,
             offers_until: base + offers,
-            until: base + offers + nanos(script.run_out.0),
+            until: base + offers + seconds_to_nanos(script.run_out.0),
             queue: BTreeMap::new(),
             next: 0,
             acts: VecDeque::new(),
@@ -271,8 +271,8 @@
             struck,
             rng: stream(3),
             hash: blake3::Hasher::new(),
-            books,
-            audit,
+            statistics,
+            auditor,
             script,
         };
         for controller in 0..nodes {
@@ -280,7 +280,7 @@
             world.schedule_arrival(controller);
         }
         world.later(0, Due::Look);
-        world.later(nanos(world.script.groups.drift_every.0), Due::Drift);
+        world.later(seconds_to_nanos(world.script.groups.drift_every.0), Due::Drift);
         world.later(SEC / 2, Due::Sample);
         world.schedule_events();
         world
@@ -298,7 +298,7 @@
 
     /// The load of fresh calls that is offered at the plan's rate times the load, without drift, in erlang of calls:
     /// by class and the two ends of a group, the lower first.
-    pub fn offered(&self) -> BTreeMap<(String, (u32, u32)), f64> {
+    pub fn offered_load(&self) -> BTreeMap<(String, (u32, u32)), f64> {
         let s = &self.script;
         let shares: f64 = s.classes.iter().map(|c| c.share.0).sum();
         let rate = s.planned_calls.0 / f64::from(s.nodes) * s.load.0;
@@ -339,7 +339,7 @@
             self.due(due);
         }
         self.now = self.now.max(now);
-        self.audit.advance(self.now);
+        self.auditor.advance(self.now);
     }
 
     /// What is to be done next.
@@ -380,7 +380,7 @@
             Due::Look => self.centre_looks(),
             Due::Drift => {
                 self.network.drift(&self.script);
-                self.later(nanos(self.script.groups.drift_every.0), Due::Drift);
+                self.later(seconds_to_nanos(self.script.groups.drift_every.0), Due::Drift);
             }
             Due::Sample => self.sample(),
             Due::Front(controller) => self.fronted[controller] = false,
@@ -519,7 +519,7 @@
             Party::Journal => self.journal_asked(controller, wire, &mut inbox),
         };
         if !readable {
-            self.audit.malformed_output(self.now, controller);
+            self.auditor.malformed_output(self.now, controller);
             return self.hang_up(wire);
         }
         if let Some(w) = self.wires.get_mut(&wire) {
@@ -530,7 +530,7 @@
     fn sample(&mut self) {
         for n in 0..self.nodes.len() {
             let (wait, cold) = (self.nodes[n].wait(), self.nodes[n].cold_state(self.now, &self.script));
-            self.books.sample_node(self.seconds(), n, wait, cold);
+            self.statistics.sample_node(self.seconds(), n, wait, cold);
         }
         if self.now < self.offers_until {
             self.later(SEC / 2, Due::Sample);
@@ -541,7 +541,7 @@
         self.network.look();
         // The look advised by is between one and two spans old.
         let [from, to] = self.script.advice.age;
-        self.later(nanos((to.0 - from.0).max(0.5)), Due::Look);
+        self.later(seconds_to_nanos((to.0 - from.0).max(0.5)), Due::Look);
     }
 
     /// The end of the books.
--- a/rehearsal/src/world/network.rs
+++ b/rehearsal/src/world/network.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal, StandardNormal};
 
-use super::nanos;
+use super::seconds_to_nanos;
 use crate::script::Script;
 
 /// One group of circuits between two nodes.
@@ -128,7 +128,7 @@
         let net = &script.network;
         let mean = if self.region[a] == self.region[b] { net.same.0 } else { net.cross.0 };
         let normal: f64 = StandardNormal.sample(rng);
-        nanos(mean * (1.0 + net.jitter.0 * normal).clamp(0.2, 3.0))
+        seconds_to_nanos(mean * (1.0 + net.jitter.0 * normal).clamp(0.2, 3.0))
     }
 
     /// The centre looks at all groups; its look before this one is what it advises by from now on.
--- a/rehearsal/src/world/nodes.rs
+++ b/rehearsal/src/world/nodes.rs
@@ -9,7 +9,7 @@
 
 use super::callers::Owner;
 use super::processor::What;
-use super::{nanos, Due, Party, Reach, WireId, World, MS};
+use super::{seconds_to_nanos, Due, Party, Reach, WireId, World, MS};
 use crate::audit::Observation;
 
 /// A leg that is over is known for so long.
@@ -151,7 +151,7 @@
         // What was said of an attempt on a silent connection, its end included, was not heard.
         let on: Vec<u64> = self.legs.iter().filter(|(_, l)| l.wire == wire).map(|(id, _)| *id).collect();
         for leg in on {
-            self.audit.observe(
+            self.auditor.observe(
                 self.now,
                 Observation::AttemptConnectionLost { controller, id: self.legs[&leg].call },
             );
@@ -182,7 +182,7 @@
                     self.invited(controller, machine, wire, (id, sequence), &message);
                 }
                 StartLine::Request(b"CANCEL") => {
-                    self.audit.observe(self.now, Observation::CancelToNode { controller, id });
+                    self.auditor.observe(self.now, Observation::CancelToNode { controller, id });
                     say(&mut out, format_args!("SIP/2.0 200 OK"), id, (sequence, "CANCEL"), "", b"");
                     self.send(wire, &out);
                     let leg = self.leg_of.get(&(controller, id)).copied();
@@ -192,7 +192,7 @@
                     }
                 }
                 StartLine::Request(b"BYE") => {
-                    self.audit.observe(self.now, Observation::ByeFromController { controller, id });
+                    self.auditor.observe(self.now, Observation::ByeFromController { controller, id });
                     say(&mut out, format_args!("SIP/2.0 200 OK"), id, (sequence, "BYE"), "", b"");
                     self.send(wire, &out);
                     self.released_by_controller(controller, id);
@@ -228,7 +228,7 @@
             number: &number,
             description: message.body,
         };
-        self.audit.observe(self.now, seen);
+        self.auditor.observe(self.now, seen);
         let Some(side) = self.callers.sides.get(&(controller, call)) else { return };
         let (owner, destination, class) = (side.owner, side.destination, side.class);
         let id = self.next_leg;
@@ -283,7 +283,7 @@
             return self.respond(id, 503, "overload");
         }
         self.job(controller, 1.0, What::OwnSetUp(id));
-        let after = nanos(self.script.processor.repeat_after.0);
+        let after = seconds_to_nanos(self.script.processor.repeat_after.0);
         if after > 0 {
             self.later(after, Due::Repeat(id, 2 * after));
         }
@@ -334,7 +334,7 @@
     fn fall_over(&mut self, node: usize) {
         let machine = self.serving[node];
         let from: Vec<usize> = self.nodes[node].lately.iter().map(|(_, c)| *c).collect();
-        self.audit.cold_processor_crashed(self.now, machine, node, &from);
+        self.auditor.cold_processor_crashed(self.now, machine, node, &from);
         self.nodes[node].fallen = true;
         self.stop_node(node, Reach::Refused);
         let late = self.script.journal.silent;
@@ -407,7 +407,7 @@
         (l.state, l.refused_by) = (State::Over, cause);
         let (wire, call, sequence, controller) = (l.wire, l.call, l.sequence, l.controller);
         if self.arrives(wire) {
-            self.audit.observe(
+            self.auditor.observe(
                 self.now,
                 Observation::ResponseFromNode { controller, id: call, code, cause, description: b"" },
             );
@@ -441,7 +441,7 @@
             description: &answer,
         };
         if self.arrives(wire) {
-            self.audit.observe(self.now, seen);
+            self.auditor.observe(self.now, seen);
         }
         self.send(wire, &out);
         if spoilt {
@@ -456,7 +456,7 @@
         let (a, b) = (l.controller, l.to);
         let delay = self.delay(a, b);
         self.later(delay, Due::Cancelled(leg));
-        self.later(nanos(self.script.groups.frees_after.0), Due::Freed(leg));
+        self.later(seconds_to_nanos(self.script.groups.frees_after.0), Due::Freed(leg));
     }
 
     pub(super) fn cancel_arrives(&mut self, leg: u64) {
@@ -520,7 +520,7 @@
             return m.unsaid.entry(controller).or_default().push((id, cause));
         };
         self.machines[machine].unanswered.insert(id, (wire, cause));
-        self.audit.observe(self.now, Observation::ByeFromNode { controller, id, cause });
+        self.auditor.observe(self.now, Observation::ByeFromNode { controller, id, cause });
         let further = format!("Reason: Q.850;cause={cause}\r\n");
         let mut out = Vec::new();
         say(&mut out, format_args!("BYE sip:call@net SIP/2.0"), id, (2, "BYE"), &further, b"");
@@ -557,7 +557,7 @@
             if self.machines[machine].reach == Reach::Up {
                 self.say_release(own, machine, call, cause);
             }
-            self.audit.observe(self.now, Observation::CallEndedAtNode { controller: own, id: call });
+            self.auditor.observe(self.now, Observation::CallEndedAtNode { controller: own, id: call });
             self.free_circuits(id);
         }
     }
--- a/rehearsal/src/world/processor.rs
+++ b/rehearsal/src/world/processor.rs
@@ -7,7 +7,7 @@
 
 use super::callers::describe;
 use super::nodes::State;
-use super::{nanos, Due, World};
+use super::{seconds_to_nanos, Due, World};
 use crate::script::Script;
 
 /// What a cold node may be sent beyond its budget, for chance: so many set-ups.
@@ -99,7 +99,7 @@
     pub fn cold_state(&self, now: Nanos, script: &Script) -> Option<(f64, f64)> {
         let p = &script.processor;
         self.cold_since.filter(|s| self.alive && (now - s) as f64 * 1e-9 < p.cold_for.0)?;
-        let from = now.saturating_sub(nanos(p.falls_within.0));
+        let from = now.saturating_sub(seconds_to_nanos(p.falls_within.0));
         let came = self.lately.iter().filter(|(at, _)| *at > from).count() as f64;
         Some((came, p.falls_past.0 * self.warmth(now, script) / self.unit * p.falls_within.0))
     }
@@ -143,7 +143,7 @@
                 self.jobs.remove(&id);
                 continue;
             }
-            let takes = nanos(job.work / speed);
+            let takes = seconds_to_nanos(job.work / speed);
             let n = &mut self.nodes[node];
             n.run += 1;
             n.working = Some((id, self.now, speed));
@@ -205,7 +205,7 @@
         let wait = n.pending / n.pace(self.now, &self.script);
         let full = n.hung == 0 && wait > self.script.processor.turn_away.0;
         if full {
-            self.books.record_turned_away(node);
+            self.statistics.record_turned_away(node);
             self.job(node, self.script.processor.refusal.0, What::Other);
         }
         full
@@ -218,7 +218,7 @@
             return false;
         }
         n.lately.push_back((self.now, from));
-        let oldest = self.now.saturating_sub(nanos(self.script.processor.falls_within.0));
+        let oldest = self.now.saturating_sub(seconds_to_nanos(self.script.processor.falls_within.0));
         while n.lately.front().is_some_and(|(at, _)| *at < oldest) {
             n.lately.pop_front();
         }
--- a/rehearsal/tests/scripts.rs
+++ b/rehearsal/tests/scripts.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use rehearsal::script::{Kind, Script};
+use rehearsal::script::{EventKind, Script};
 
 /// The error of a script with these lines after the first three.
 fn refused(lines: &str) -> String {
@@ -110,6 +110,6 @@
             }
         };
         assert_eq!(script.events[0].kind.name(), kind);
-        assert_ne!(script.events[0].kind, Kind::Vanish);
+        assert_ne!(script.events[0].kind, EventKind::Vanish);
     }
 }
