--- a/dillhold/src/engine/callers.rs
+++ b/dillhold/src/engine/callers.rs
@@ -60,8 +60,8 @@
     /// closing it once cost callers their answers, and their releases went to strangers.
     fn make_room(&mut self) -> bool {
         // What was decided in this turn is written first: a connection may look idle with its answer on the way.
-        self.carry_out();
-        let free = |token: &u64| !self.calls.has_calls(*token) && self.pending(*token).is_empty();
+        self.run_commands();
+        let free = |token: &u64| !self.calls.has_calls(*token) && self.pending_bytes(*token).is_empty();
         let callers = self.conns.iter().filter_map(|(token, conn)| match &conn.peer {
             Peer::Caller(caller) => {
                 Some((caller.confirmed, if caller.confirmed { caller.last_message_at } else { 0 }, *token))
@@ -78,7 +78,7 @@
     /// Looks at a connection from callers; one that is of no use is closed.
     pub(super) fn caller_due(&mut self, token: ConnId) {
         // An answer that was decided in this turn is a word too.
-        self.carry_out();
+        self.run_commands();
         let Some(conn) = self.conns.get(&token) else { return };
         let Peer::Caller(caller) = &conn.peer else { return };
         let since = |at: Nanos| self.now.saturating_sub(at);
--- a/dillhold/src/engine/leave.rs
+++ b/dillhold/src/engine/leave.rs
@@ -18,7 +18,7 @@
 impl Engine {
     /// The signal to end: goes on serving for a while, then takes no more callers and leaves once no set-up is open
     /// and no connection has a call that stands, at the latest some time after the longest deadline.
-    pub fn end(&mut self) {
+    pub fn shut_down(&mut self) {
         let longest = self.calls.settings().module.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let Some(plan) = self.shutdown.signalled(self.now, longest) else { return };
         tracing::info!(open = self.calls.open_set_ups(), ?plan, "told to end: draining");
@@ -45,7 +45,7 @@
             return;
         }
         // What was decided in this turn is written first: a connection may look unused with its answer on the way.
-        self.carry_out();
+        self.run_commands();
         let unused: Vec<ConnId> = self.conns.keys().copied().filter(|token| self.is_unused(*token)).collect();
         for token in unused {
             self.finish(token, CloseReason::Leaving);
@@ -67,7 +67,7 @@
         self.shutdown.phase() == Phase::Leaving
             && self.calls.open_set_ups() == 0
             && !self.conns.values().any(in_use)
-            && self.conns.keys().all(|token| self.pending(*token).is_empty() || !self.is_caller(*token))
+            && self.conns.keys().all(|token| self.pending_bytes(*token).is_empty() || !self.is_caller(*token))
     }
 
     pub(super) fn stop(&mut self) {
--- a/dillhold/src/engine/mod.rs
+++ b/dillhold/src/engine/mod.rs
@@ -4,14 +4,14 @@
 //! to be done with sockets as [`Output`]s. Everything about connections is settled here: who is let in and who
 //! makes room, what silence and half messages mean, when an exchange is dialled again and the journal asked, how
 //! far an attempt had come when its connection failed, who is shed when memory is short, and the order of the
-//! end. Bytes are read straight into the sessions' buffers ([`Engine::room`], [`Engine::filled`]) and written
-//! straight from them ([`Engine::pending`], [`Engine::wrote`]).
+//! end. Bytes are read straight into the sessions' buffers ([`Engine::read_buffer`], [`Engine::bytes_read`]) and written
+//! straight from them ([`Engine::pending_bytes`], [`Engine::bytes_written`]).
 //!
 //! One turn of whoever embeds it:
 //!
-//! 1. [`Engine::begin`] with the time; then what happened, each by its own call;
-//! 2. [`Engine::sweep`], for what is due;
-//! 3. until [`Engine::settled`]: [`Engine::carry_out`], then all of [`Engine::poll_output`], then for each of
+//! 1. [`Engine::begin_turn`] with the time; then what happened, each by its own call;
+//! 2. [`Engine::handle_deadlines`], for what is due;
+//! 3. until [`Engine::is_turn_complete`]: [`Engine::run_commands`], then all of [`Engine::poll_output`], then for each of
 //!    [`Engine::poll_write`] what can be written, and [`Engine::flushed`];
 //! 4. [`Engine::end_turn`].
 
@@ -56,13 +56,13 @@
 /// A connection. Numbers are never used again.
 pub type ConnId = u64;
 /// The first number of a connection; those below are free for whoever embeds the engine.
-pub const FIRST_CONN: ConnId = 16;
+pub const FIRST_CONN_ID: ConnId = 16;
 
 /// What is to be done with sockets, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Connect. [`Engine::connected`] or [`Engine::connect_failed`] tells what came of it.
-    Dial {
+    Connect {
         /// The number that the connection has from now on.
         conn: ConnId,
         /// Where to.
@@ -70,8 +70,8 @@
     },
     /// Close at once; nothing more is told of this connection.
     Close(ConnId),
-    /// Close the writing side. [`Engine::read_ended`] tells when the other side has closed too.
-    Finish(ConnId),
+    /// Close the writing side. [`Engine::read_closed`] tells when the other side has closed too.
+    ShutdownWrite(ConnId),
     /// Take callers at this address, and no more at another one.
     Listen(SocketAddr),
     /// Take in the callers that wait, and no more after these.
@@ -84,9 +84,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
     /// What comes is read.
-    pub reads: bool,
+    pub readable: bool,
     /// Something waits to be written.
-    pub writes: bool,
+    pub writable: bool,
 }
 
 /// Who is at the other end.
@@ -151,7 +151,7 @@
             calls,
             bounds,
             conns: BTreeMap::new(),
-            next_conn: FIRST_CONN,
+            next_conn: FIRST_CONN_ID,
             touched: BTreeSet::new(),
             outputs: VecDeque::from([Output::Listen(config.listen)]),
             held: 0,
@@ -162,7 +162,7 @@
             shutdown: Shutdown::new(),
         };
         engine.ask_journal();
-        engine.carry_out();
+        engine.run_commands();
         Ok(engine)
     }
 
@@ -171,7 +171,7 @@
     // -----------------------------------------------------------------------------------------------------
 
     /// A turn begins. All that happens within it happens at this time.
-    pub fn begin(&mut self, now: Nanos) {
+    pub fn begin_turn(&mut self, now: Nanos) {
         self.now = now;
     }
 
@@ -181,13 +181,13 @@
     }
 
     /// When something is due next.
-    pub fn next_due(&self) -> Option<Nanos> {
+    pub fn next_deadline(&self) -> Option<Nanos> {
         self.calls.deadlines.earliest()
     }
 
     /// Carries out what is due. What has come in is told before: after a pause of this process an answer must
     /// not lose against a time-out that only looks overdue.
-    pub fn sweep(&mut self) {
+    pub fn handle_deadlines(&mut self) {
         for due in self.calls.deadlines.take_expired(self.now) {
             match due {
                 Deadline::Engine(due) => self.link_due(due),
@@ -208,7 +208,7 @@
 
     /// Whether nothing is left to be done in this turn. What the writing has failed is carried out and written
     /// in the same turn too: nothing else may wake it.
-    pub fn settled(&self) -> bool {
+    pub fn is_turn_complete(&self) -> bool {
         self.calls.is_idle() && self.outputs.is_empty() && self.touched.is_empty()
     }
 
@@ -220,11 +220,11 @@
     }
 
     /// Whether this configuration can take the place of the present one while calls are open and stand.
-    pub fn admits(&self, told: &ControllerSettings) -> bool {
+    pub fn can_reconfigure(&self, told: &ControllerSettings) -> bool {
         self.calls.can_reconfigure(told)
     }
 
-    /// Goes on with another configuration, which [`Engine::admits`] has let through. Calls and connections stay.
+    /// Goes on with another configuration, which [`Engine::can_reconfigure`] has let through. Calls and connections stay.
     pub fn reconfigure(&mut self, config: Config, told: ControllerSettings) {
         let listening = matches!(self.shutdown.phase(), Phase::Serving | Phase::Draining);
         if config.listen != self.listen && listening {
@@ -241,12 +241,12 @@
     }
 
     /// Measures trunk groups from now on, as the operator has it.
-    pub fn measure(&mut self, calendar: Calendar) {
+    pub fn start_measuring(&mut self, calendar: Calendar) {
         self.calls.start_measuring(self.now, calendar);
     }
 
     /// Closes the running interval before it is over, and measures no more.
-    pub fn cut_interval(&mut self) {
+    pub fn close_interval(&mut self) {
         self.calls.close_intervals(self.now, true);
     }
 
@@ -261,7 +261,7 @@
     }
 
     /// Counts an error of the sockets'.
-    pub fn count(&mut self, name: &'static str) {
+    pub fn count_error(&mut self, name: &'static str) {
         self.calls.counters.increment(name);
     }
 
@@ -290,7 +290,7 @@
             return None;
         }
         let conn = self.add(peer, true);
-        self.outputs.push_back(Output::Dial { conn, to });
+        self.outputs.push_back(Output::Connect { conn, to });
         self.calls.deadlines.add(self.now + timeout, Deadline::Engine(EngineDeadline::ConnectTimeout(conn)));
         Some(conn)
     }
@@ -339,18 +339,18 @@
         if let Some(name) = reason.counter() {
             self.calls.counters.increment(name);
         }
-        self.lost(token);
+        self.connection_lost(token);
     }
 
     /// A connection is gone.
-    pub fn lost(&mut self, token: ConnId) {
+    pub fn connection_lost(&mut self, token: ConnId) {
         self.fail(token, false, false);
     }
 
     /// Both directions of a connection are closed. One that only waited to be written to is gone.
     pub fn peer_closed(&mut self, token: ConnId) {
         if self.conns.get(&token).is_some_and(|c| c.ended) {
-            self.lost(token);
+            self.connection_lost(token);
         }
     }
 
@@ -362,13 +362,13 @@
     }
 
     /// Where the next bytes that come on a connection go; `None`: it is not read from any more.
-    pub fn room(&mut self, token: ConnId) -> Option<&mut [u8]> {
+    pub fn read_buffer(&mut self, token: ConnId) -> Option<&mut [u8]> {
         self.conns.get(&token).filter(|c| !c.ended && !c.unreadable && !c.connecting)?;
         Some(self.buffers(token)?.0.unfilled())
     }
 
     /// So many bytes came and were put there.
-    pub fn filled(&mut self, token: ConnId, count: usize) {
+    pub fn bytes_read(&mut self, token: ConnId, count: usize) {
         let now = self.now;
         let Some((read_buffer, _)) = self.buffers(token) else { return };
         read_buffer.advance(count);
@@ -417,13 +417,13 @@
 
     /// The other side writes no more. A caller may still read the answers it is owed, those that follow in this
     /// turn from what it wrote before included.
-    pub fn read_ended(&mut self, token: ConnId) {
+    pub fn read_closed(&mut self, token: ConnId) {
         match self.conns.get_mut(&token) {
             Some(conn) if matches!(conn.peer, Peer::Caller(_)) && !conn.finishing => {
                 conn.ended = true;
                 self.touched.insert(token);
             }
-            _ => self.lost(token),
+            _ => self.connection_lost(token),
         }
     }
 
@@ -436,7 +436,7 @@
         if let Peer::Caller(caller) = &mut conn.peer {
             caller.acknowledge_releases();
         }
-        self.outputs.push_back(Output::Finish(token));
+        self.outputs.push_back(Output::ShutdownWrite(token));
         self.calls
             .deadlines
             .add(self.now + FINISH_WITHIN, Deadline::Engine(EngineDeadline::FinishTimeout(token)));
@@ -507,7 +507,7 @@
     // -----------------------------------------------------------------------------------------------------
 
     /// What has to be written next on a connection.
-    pub fn pending(&self, token: ConnId) -> &[u8] {
+    pub fn pending_bytes(&self, token: ConnId) -> &[u8] {
         match self.conns.get(&token).map(|c| &c.peer) {
             Some(Peer::Caller(caller)) => caller.write_buffer.pending(),
             Some(Peer::Journal(journal)) => journal.write_buffer.pending(),
@@ -518,7 +518,7 @@
     }
 
     /// So many bytes of it were written.
-    pub fn wrote(&mut self, token: ConnId, count: usize) {
+    pub fn bytes_written(&mut self, token: ConnId, count: usize) {
         if let Some((_, write_buffer)) = self.buffers(token) {
             write_buffer.mark_written(count);
         }
@@ -548,7 +548,7 @@
             self.close(token, CloseReason::Finished);
             return None;
         }
-        Some(Interest { reads: !(ended || caller && left > SLOW[0]), writes: left > 0 })
+        Some(Interest { readable: !(ended || caller && left > SLOW[0]), writable: left > 0 })
     }
 
     // -----------------------------------------------------------------------------------------------------
@@ -573,13 +573,13 @@
             EngineDeadline::DeliverReleases => self.deliver(None),
             EngineDeadline::StopListening => self.stop_listening(),
             EngineDeadline::CloseUnused => self.close_unused(),
-            EngineDeadline::FinishTimeout(token) => self.lost(token),
+            EngineDeadline::FinishTimeout(token) => self.connection_lost(token),
             EngineDeadline::ForcedExit => self.stop(),
         }
     }
 
     /// Carries out what the call table commands, until nothing more follows from it.
-    pub fn carry_out(&mut self) {
+    pub fn run_commands(&mut self) {
         self.calls.dispatch_queued_events(self.now);
         while let Some(command) = self.calls.commands.pop_front() {
             match command {
--- a/dillhold/src/net/mod.rs
+++ b/dillhold/src/net/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::{Clock, MS};
 use crate::directory::{self, Config, ControllerSettings};
-use crate::engine::{ConnId, Engine, Output, FIRST_CONN};
+use crate::engine::{ConnId, Engine, Output, FIRST_CONN_ID};
 use crate::operator::Operator;
 use archive::Archive;
 use conn::Conn;
@@ -28,7 +28,7 @@
 const SIGNAL_END: u64 = 1;
 const SIGNAL_PRINT: u64 = 2;
 const SIGNAL_RELOAD: u64 = 3;
-const _: () = assert!(SIGNAL_RELOAD < FIRST_CONN);
+const _: () = assert!(SIGNAL_RELOAD < FIRST_CONN_ID);
 
 /// Turns are no further apart than this on account of the tick, whatever the settings say.
 const MOST_TICK: Nanos = 10 * MS;
@@ -121,7 +121,7 @@
         let mut engine = Engine::new(now, config, told)?;
         let mut archive = None;
         if let Some(measure) = &operator.measure {
-            engine.measure(measure.calendar().map_err(|e| e.to_string())?);
+            engine.start_measuring(measure.calendar().map_err(|e| e.to_string())?);
             archive = Some(Archive::open(&measure.folder)?);
         }
 
@@ -183,7 +183,7 @@
         events.clear();
         std::thread::sleep(Duration::from_nanos(early(self.now, self.engine.tick(), self.clock.read())));
         // Reckoned after that sleep, or a deadline within it would come late by as much again.
-        let due = self.engine.next_due();
+        let due = self.engine.next_deadline();
         let wait = due.map_or(1_000 * MS, |at| at.saturating_sub(self.clock.read()));
         let timeout =
             Timespec { tv_sec: (wait / 1_000_000_000) as i64, tv_nsec: (wait % 1_000_000_000) as i64 };
@@ -192,14 +192,14 @@
             Err(e) => return Err(format!("epoll: {e}")),
         }
         self.now = self.clock.read();
-        self.engine.begin(self.now);
+        self.engine.begin_turn(self.now);
         for event in events.iter() {
             let flags = event.flags;
             match event.data.u64() {
                 LISTENER => self.accept(),
                 SIGNAL_END => {
                     conn::swallow(&self.signals[0]);
-                    self.engine.end();
+                    self.engine.shut_down();
                 }
                 SIGNAL_PRINT => {
                     conn::swallow(&self.signals[1]);
@@ -214,14 +214,14 @@
                 token => self.ready(token, flags),
             }
         }
-        self.engine.sweep();
+        self.engine.handle_deadlines();
         loop {
-            self.engine.carry_out();
+            self.engine.run_commands();
             self.perform();
             while let Some(token) = self.engine.poll_write() {
                 self.flush(token);
             }
-            if self.engine.settled() {
+            if self.engine.is_turn_complete() {
                 break;
             }
         }
@@ -229,7 +229,7 @@
         self.perform();
         while let Some(interval) = self.engine.poll_interval() {
             if !self.archive.as_ref().is_some_and(|a| a.take(interval)) {
-                self.engine.count("errors intervals dropped");
+                self.engine.count_error("errors intervals dropped");
             }
         }
         Ok(())
@@ -239,7 +239,7 @@
     fn perform(&mut self) {
         while let Some(output) = self.engine.poll_output() {
             match output {
-                Output::Dial { conn, to } => {
+                Output::Connect { conn, to } => {
                     let made = conn::connect(to).and_then(|fd| Conn::new(&self.epoll, fd, conn, true));
                     match made {
                         Ok(made) => {
@@ -253,7 +253,7 @@
                 Output::Close(conn) => {
                     self.conns.remove(&conn);
                 }
-                Output::Finish(conn) => {
+                Output::ShutdownWrite(conn) => {
                     if let Some(conn) = self.conns.get(&conn) {
                         let _ = conn.stream.shutdown(Shutdown::Write);
                     }
@@ -277,7 +277,7 @@
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 // Of descriptors run out, say: the next turn tries again, a tick later.
-                Err(_) => return self.engine.count("errors accepting"),
+                Err(_) => return self.engine.count_error("errors accepting"),
             };
             let Some(token) = self.engine.accepted() else { continue };
             match Conn::new(&self.epoll, stream.into(), token, false) {
@@ -285,8 +285,8 @@
                     self.conns.insert(token, conn);
                 }
                 Err(_) => {
-                    self.engine.count("errors opening");
-                    self.engine.lost(token);
+                    self.engine.count_error("errors opening");
+                    self.engine.connection_lost(token);
                 }
             }
         }
@@ -312,13 +312,13 @@
     fn read(&mut self, token: ConnId) {
         let Some(conn) = self.conns.get_mut(&token) else { return };
         for _ in 0..READS[usize::from(conn.caller)] {
-            let Some(room) = self.engine.room(token) else { return };
+            let Some(room) = self.engine.read_buffer(token) else { return };
             match io::Read::read(&mut conn.stream, room) {
-                Ok(0) => return self.engine.read_ended(token),
-                Ok(count) => self.engine.filled(token, count),
+                Ok(0) => return self.engine.read_closed(token),
+                Ok(count) => self.engine.bytes_read(token, count),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => return self.engine.lost(token),
+                Err(_) => return self.engine.connection_lost(token),
             }
         }
     }
@@ -326,20 +326,20 @@
     fn flush(&mut self, token: ConnId) {
         let Some(conn) = self.conns.get_mut(&token).filter(|c| !c.connecting) else { return };
         loop {
-            let pending = self.engine.pending(token);
+            let pending = self.engine.pending_bytes(token);
             if pending.is_empty() {
                 break;
             }
             match io::Write::write(&mut conn.stream, pending) {
-                Ok(count) => self.engine.wrote(token, count),
+                Ok(count) => self.engine.bytes_written(token, count),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => return self.engine.lost(token),
+                Err(_) => return self.engine.connection_lost(token),
             }
         }
         if let Some(interest) = self.engine.flushed(token) {
-            if conn.watch(&self.epoll, token, interest.reads, interest.writes).is_err() {
-                self.engine.lost(token);
+            if conn.watch(&self.epoll, token, interest.readable, interest.writable).is_err() {
+                self.engine.connection_lost(token);
             }
         }
     }
@@ -347,7 +347,7 @@
     /// Reads the configuration again and applies it whole, or not at all. Calls and connections stay.
     fn reload(&mut self) -> Result<(), String> {
         let (config, told) = read_config(&self.path)?;
-        if !self.engine.admits(&told) {
+        if !self.engine.can_reconfigure(&told) {
             return Err("configuration: settings: own exchange, layout or classes differ: start anew".into());
         }
         if config.listen != self.listen && self.listener.is_some() {
--- a/dillhold/tests/calls.rs
+++ b/dillhold/tests/calls.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{config, target, DESCRIPTION};
+use common::{journal_target, test_config, DESCRIPTION};
 use dillhold::call::*;
 use dillhold::directory::{read_config, read_settings, Directory};
 use pitchgw::interface::{Cause, LoadReport, Nanos, Outcome};
@@ -20,8 +20,8 @@
 fn table_within(open_bytes: Option<usize>) -> Calls {
     let address = "127.0.0.1:9".parse().unwrap();
     let at = |n: usize| format!("127.0.0.1:{n}").parse().unwrap();
-    let targets = [1, 2].map(|n| target(n, &format!("s-{n}"), at(n), "SERVING"));
-    let config = read_config(&config(address, address, &targets).to_string()).unwrap();
+    let targets = [1, 2].map(|n| journal_target(n, &format!("s-{n}"), at(n), "SERVING"));
+    let config = read_config(&test_config(address, address, &targets).to_string()).unwrap();
     let directory = Directory::new(&config.settings);
     let mut bounds = config.limits.bounds();
     bounds.max_open_bytes = open_bytes.unwrap_or(bounds.max_open_bytes);
@@ -243,7 +243,7 @@
 fn a_drain_withholds_what_has_not_left_and_stops_what_would_come() {
     let mut calls = table();
     let address = "127.0.0.1:1".parse().unwrap();
-    let hosts = json!({"all": false, "targets": [target(1, "s-1", address, "DRAINING")]});
+    let hosts = json!({"all": false, "targets": [journal_target(1, "s-1", address, "DRAINING")]});
     let answer = json!({"pos": 2, "entries": [{"pos": 2, "hosts": hosts}]});
     let news = calls.directory.apply(serde_json::from_value(answer).unwrap()).unwrap();
     calls.apply_directory_update(START, news);
@@ -260,7 +260,7 @@
     calls.from_exchange(START, 0, FromExchange::Answered { id: 1, description: b"d" });
     run(&mut calls, START);
     let address = "127.0.0.1:1".parse().unwrap();
-    let hosts = json!({"all": false, "targets": [target(1, "s-1", address, "DELETED")]});
+    let hosts = json!({"all": false, "targets": [journal_target(1, "s-1", address, "DELETED")]});
     let answer = json!({"pos": 2, "entries": [{"pos": 2, "hosts": hosts}]});
     let news = calls.directory.apply(serde_json::from_value(answer).unwrap()).unwrap();
     calls.apply_directory_update(START, news);
@@ -304,7 +304,7 @@
 #[test]
 fn a_release_heard_on_the_link_of_a_machine_that_had_the_address_before_is_passed_on() {
     let mut calls = table();
-    let host = |uid: &str, state| target(1, uid, "127.0.0.1:1".parse().unwrap(), state);
+    let host = |uid: &str, state| journal_target(1, uid, "127.0.0.1:1".parse().unwrap(), state);
     let targets = [host("s-1", "DRAINING"), host("s-9", "SERVING")];
     let event = json!({"pos": 2, "hosts": {"rev": 2, "all": false, "targets": targets}});
     let answer = serde_json::from_value(json!({"pos": 2, "entries": [event]})).unwrap();
--- a/dillhold/tests/common/mod.rs
+++ b/dillhold/tests/common/mod.rs
@@ -14,20 +14,20 @@
 pub const DESCRIPTION: &[u8] = b"5f716a7cc1d37084\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0\r\n\xff\0";
 
 /// What a caller was told: the type, the call, the cause or 0, the description.
-pub type Told = (u8, u64, u8, Vec<u8>);
+pub type ReceivedMessage = (u8, u64, u8, Vec<u8>);
 
 /// One end of a connection, with what was read and not yet taken.
-pub struct Wire {
+pub struct Connection {
     pub stream: TcpStream,
     read_buffer: ReadBuffer,
 }
 
-impl Wire {
-    pub fn new(stream: TcpStream) -> Wire {
+impl Connection {
+    pub fn new(stream: TcpStream) -> Connection {
         // Long enough for any machine: a test that fails waits so long, one that passes does not.
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         stream.set_nodelay(true).unwrap();
-        Wire { stream, read_buffer: ReadBuffer::default() }
+        Connection { stream, read_buffer: ReadBuffer::default() }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
@@ -48,7 +48,7 @@
     }
 
     /// The next binary message.
-    pub fn told(&mut self) -> Told {
+    pub fn read_binary(&mut self) -> ReceivedMessage {
         self.next(|bytes| {
             let (m, taken) = binary::parse(bytes).unwrap()?;
             let description = m.parameter(binary::param::DESCRIPTION).unwrap_or_default().to_vec();
@@ -57,7 +57,7 @@
     }
 
     /// The next SIP message, which has to start like this: its `Call-ID`, number of `CSeq` and whole text.
-    pub fn sip(&mut self, start: &str) -> (u64, u32, Vec<u8>) {
+    pub fn read_sip(&mut self, start: &str) -> (u64, u32, Vec<u8>) {
         let (id, number, text) = self.next(|bytes| {
             let (m, taken) = sip::parse(bytes).unwrap()?;
             let number = m.cseq().expect("a CSeq").0;
@@ -69,7 +69,7 @@
     }
 
     /// Responds to a set-up, or says something of a call.
-    pub fn say_sip(&mut self, line: &str, id: u64, sequence: (u32, &str), further: &str, body: &[u8]) {
+    pub fn send_sip(&mut self, line: &str, id: u64, sequence: (u32, &str), further: &str, body: &[u8]) {
         let mut out = Vec::new();
         let call = format!("{id:016x}");
         sip::write(
@@ -83,15 +83,15 @@
         self.send(&out);
     }
 
-    pub fn say(&mut self, kind: u8, id: u64, parameters: &[(u8, &[u8])]) {
+    pub fn send_binary(&mut self, kind: u8, id: u64, parameters: &[(u8, &[u8])]) {
         let mut out = Vec::new();
         binary::write(&mut out, kind, id, parameters);
         self.send(&out);
     }
 
     /// A set-up of three seconds for exchange 1, advised by way of exchange 2.
-    pub fn set_up(&mut self, id: u64) {
-        self.say(
+    pub fn send_set_up(&mut self, id: u64) {
+        self.send_binary(
             1,
             id,
             &[
@@ -105,7 +105,7 @@
     }
 
     /// Comes to know that the other side has closed the connection.
-    pub fn closed(&mut self) {
+    pub fn wait_for_close(&mut self) {
         let mut bytes = [0; 4096];
         while !matches!(self.stream.read(&mut bytes), Ok(0)) {
             // What was said before the close is of no interest; a reset is a close too.
@@ -117,9 +117,9 @@
     }
 
     /// Comes to know that nothing else was said: a test is answered next.
-    pub fn nothing_else(&mut self) {
-        self.say(52, 99, &[(114, &[0])]);
-        assert_eq!(self.told(), (53, 99, 1, Vec::new()));
+    pub fn expect_nothing_else(&mut self) {
+        self.send_binary(52, 99, &[(114, &[0])]);
+        assert_eq!(self.read_binary(), (53, 99, 1, Vec::new()));
     }
 }
 
@@ -141,12 +141,12 @@
 }
 
 impl Program {
-    pub fn caller(&self) -> Wire {
-        Wire::new(TcpStream::connect(self.listen).unwrap())
+    pub fn connect_caller(&self) -> Connection {
+        Connection::new(TcpStream::connect(self.listen).unwrap())
     }
 
     /// The program's standard error up to some text.
-    pub fn printed(&mut self, until: &str) -> String {
+    pub fn read_stderr_until(&mut self, until: &str) -> String {
         let stderr = self.child.stderr.as_mut().unwrap();
         let mut printed = String::new();
         while !printed.contains(until) {
@@ -158,29 +158,29 @@
         printed
     }
 
-    pub fn signal(&self, name: &str) {
+    pub fn send_signal(&self, name: &str) {
         let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
         assert!(sent.success());
     }
 }
 
-pub fn listener() -> TcpListener {
+pub fn bind_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-pub fn accept(listener: &TcpListener) -> Wire {
-    Wire::new(listener.accept().unwrap().0)
+pub fn accept(listener: &TcpListener) -> Connection {
+    Connection::new(listener.accept().unwrap().0)
 }
 
 /// From now on connections to a listener never come up, as if its machine had vanished: its queue takes one
 /// connection, and that one is returned.
-pub fn vanish(listener: &TcpListener) -> TcpStream {
+pub fn make_unreachable(listener: &TcpListener) -> TcpStream {
     rustix::net::listen(listener, 0).unwrap();
     TcpStream::connect(listener.local_addr().unwrap()).unwrap()
 }
 
 /// A line of the journal.
-pub fn target(number: usize, uid: &str, address: SocketAddr, state: &str) -> Value {
+pub fn journal_target(number: usize, uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address, "az": "east", "model": "std", "pod_group": number,
            "state": state, "capacity_hint": 1, "boot_ms": 0})
 }
@@ -189,7 +189,7 @@
     std::env::temp_dir().join(format!("dillhold-test-{}-{name}.json", std::process::id()))
 }
 
-pub fn launch(config: &str, name: &str) -> Child {
+pub fn spawn_program(config: &str, name: &str) -> Child {
     let path = config_path(name);
     std::fs::write(&path, config).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_dillhold"));
@@ -197,7 +197,7 @@
 }
 
 /// A configuration for exchange 0 with these on its list.
-pub fn config(listen: SocketAddr, journal: SocketAddr, targets: &[Value]) -> Value {
+pub fn test_config(listen: SocketAddr, journal: SocketAddr, targets: &[Value]) -> Value {
     json!({
         "name": "n0", "listen": listen, "seed": "8c1f30d27a5be964", "journal": journal,
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 64},
@@ -217,16 +217,16 @@
 }
 
 /// Starts the program, which is exchange 0, with the others on its list, and waits until it passes a test.
-pub fn start(name: &str, journal: SocketAddr, others: &[&TcpListener]) -> Program {
-    let listen = listener().local_addr().unwrap();
+pub fn start_program(name: &str, journal: SocketAddr, others: &[&TcpListener]) -> Program {
+    let listen = bind_listener().local_addr().unwrap();
     let targets = others.iter().enumerate().map(|(i, l)| {
         let number = i + 1;
-        target(number, &format!("s-{number}"), l.local_addr().unwrap(), "SERVING")
+        journal_target(number, &format!("s-{number}"), l.local_addr().unwrap(), "SERVING")
     });
     let targets: Vec<Value> =
-        targets.chain([target(0, "s-0", "127.0.0.1:1".parse().unwrap(), "SERVING")]).collect();
-    let config = config(listen, journal, &targets);
-    let child = launch(&config.to_string(), name);
+        targets.chain([journal_target(0, "s-0", "127.0.0.1:1".parse().unwrap(), "SERVING")]).collect();
+    let config = test_config(listen, journal, &targets);
+    let child = spawn_program(&config.to_string(), name);
     let mut program = Program { child, listen, config, path: config_path(name) };
     let up = std::iter::repeat_with(|| {
         std::thread::sleep(Duration::from_millis(5));
@@ -234,6 +234,6 @@
         TcpStream::connect(listen)
     });
     let stream = up.take(4000).find_map(Result::ok).expect("the program listens");
-    Wire::new(stream).nothing_else();
+    Connection::new(stream).expect_nothing_else();
     program
 }
--- a/dillhold/tests/engine.rs
+++ b/dillhold/tests/engine.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{config, target, DESCRIPTION};
+use common::{journal_target, test_config, DESCRIPTION};
 use dillhold::codec::{binary, sip};
 use dillhold::directory::{read_config, read_settings};
 use dillhold::engine::{ConnId, Engine, Interest, Output};
@@ -24,8 +24,8 @@
     /// Exchange 0 that knows exchanges 1 and 2 at the ports of these numbers, and the journal at port 9.
     fn new() -> Bench {
         let at = |port: usize| format!("127.0.0.1:{port}").parse().unwrap();
-        let targets = [1, 2].map(|n| target(n, &format!("s-{n}"), at(n), "SERVING"));
-        let config = read_config(&config(at(5), at(9), &targets).to_string()).unwrap();
+        let targets = [1, 2].map(|n| journal_target(n, &format!("s-{n}"), at(n), "SERVING"));
+        let config = read_config(&test_config(at(5), at(9), &targets).to_string()).unwrap();
         let told = read_settings(&config).unwrap();
         let engine = Engine::new(START, config, told).unwrap();
         let (outputs, written, interest) = (Vec::new(), Vec::new(), Vec::new());
@@ -36,20 +36,23 @@
 
     fn settle(&mut self) {
         loop {
-            self.engine.carry_out();
+            self.engine.run_commands();
             while let Some(output) = self.engine.poll_output() {
                 self.outputs.push(output);
             }
             while let Some(conn) = self.engine.poll_write() {
-                let bytes = self.engine.pending(conn).to_vec();
-                self.engine.wrote(conn, bytes.len());
+                let bytes = self.engine.pending_bytes(conn).to_vec();
+                self.engine.bytes_written(conn, bytes.len());
                 if !bytes.is_empty() {
-                    assert!(!self.outputs.contains(&Output::Finish(conn)), "its writing side is closed");
+                    assert!(
+                        !self.outputs.contains(&Output::ShutdownWrite(conn)),
+                        "its writing side is closed"
+                    );
                     self.written.push((conn, bytes));
                 }
                 self.interest.extend(self.engine.flushed(conn).map(|i| (conn, i)));
             }
-            if self.engine.settled() {
+            if self.engine.is_turn_complete() {
                 break;
             }
         }
@@ -62,7 +65,7 @@
     /// Lets time pass, deadline by deadline.
     fn wait(&mut self, span: Nanos) {
         let until = self.now + span;
-        while let Some(due) = self.engine.next_due().filter(|due| *due <= until) {
+        while let Some(due) = self.engine.next_deadline().filter(|due| *due <= until) {
             self.now = self.now.max(due);
             self.turn(|_| {});
         }
@@ -70,16 +73,16 @@
     }
 
     fn turn(&mut self, happens: impl FnOnce(&mut Engine)) {
-        self.engine.begin(self.now);
+        self.engine.begin_turn(self.now);
         happens(&mut self.engine);
-        self.engine.sweep();
+        self.engine.handle_deadlines();
         self.settle();
     }
 
     /// The newest connection dialled to a port.
     fn dialled(&self, port: u16) -> Option<ConnId> {
         let to = |o: &Output| match o {
-            Output::Dial { conn, to } if to.port() == port => Some(*conn),
+            Output::Connect { conn, to } if to.port() == port => Some(*conn),
             _ => None,
         };
         self.outputs.iter().rev().find_map(to)
@@ -104,9 +107,9 @@
     fn comes(&mut self, conn: ConnId, bytes: &[u8]) {
         self.turn(|e| {
             for part in bytes.chunks(64) {
-                let Some(room) = e.room(conn) else { return };
+                let Some(room) = e.read_buffer(conn) else { return };
                 room[..part.len()].copy_from_slice(part);
-                e.filled(conn, part.len());
+                e.bytes_read(conn, part.len());
             }
         });
     }
@@ -218,7 +221,7 @@
     assert_eq!(binary::parse(&told).unwrap().unwrap().0.kind, binary::kind::TEST_RESPONSE);
     assert!(bench.closed(caller));
     let mut room = true;
-    bench.turn(|e| room = e.room(caller).is_some());
+    bench.turn(|e| room = e.read_buffer(caller).is_some());
     assert!(!room, "nothing more is read from it");
 }
 
@@ -227,9 +230,9 @@
     let mut bench = Bench::new();
     let (exchange, caller) = (bench.up(1), bench.caller());
     bench.set_up(caller, 7);
-    bench.turn(|e| e.read_ended(caller));
+    bench.turn(|e| e.read_closed(caller));
     assert!(!bench.closed(caller), "it is owed an answer");
-    assert_eq!(bench.interest.last(), Some(&(caller, Interest { reads: false, writes: false })));
+    assert_eq!(bench.interest.last(), Some(&(caller, Interest { readable: false, writable: false })));
     bench.comes(exchange, &ok(7));
     assert!(!bench.said(caller).is_empty() && bench.closed(caller));
 }
@@ -238,7 +241,7 @@
 fn told_to_end_it_serves_on_stops_listening_and_stops_when_nothing_is_left() {
     let mut bench = Bench::new();
     let (exchange, caller) = (bench.up(1), bench.caller());
-    bench.turn(Engine::end);
+    bench.turn(Engine::shut_down);
     bench.wait(600 * MS);
     assert!(!bench.outputs.contains(&Output::StopListening), "callers are still sent here");
     bench.set_up(caller, 7);
@@ -246,15 +249,15 @@
     bench.wait(200 * MS);
     assert!(bench.outputs.contains(&Output::StopListening));
     bench.wait(200 * MS);
-    assert!(!bench.outputs.contains(&Output::Finish(caller)), "a set-up is open");
+    assert!(!bench.outputs.contains(&Output::ShutdownWrite(caller)), "a set-up is open");
     bench.comes(exchange, &ok(7));
     assert_eq!(told(&mut bench, caller), [(binary::kind::ANSWER, 7, None)]);
     bench.wait(1_000 * MS);
-    assert!(!bench.outputs.contains(&Output::Finish(caller)), "a call stands on it");
+    assert!(!bench.outputs.contains(&Output::ShutdownWrite(caller)), "a call stands on it");
     bench.comes(exchange, &bye(7));
     assert_eq!(told(&mut bench, caller), [(binary::kind::RELEASE, 7, Some(16))]);
     bench.wait(200 * MS);
-    assert!(bench.outputs.contains(&Output::Finish(caller)), "nothing is left on it");
+    assert!(bench.outputs.contains(&Output::ShutdownWrite(caller)), "nothing is left on it");
     assert!(bench.outputs.contains(&Output::Stop));
 }
 
@@ -265,11 +268,11 @@
     let mut bench = Bench::new();
     let (exchange, caller) = (bench.up(1), bench.caller());
     stand(&mut bench, caller, exchange, 1);
-    bench.turn(Engine::end);
+    bench.turn(Engine::shut_down);
     bench.set_up(caller, 7);
     // A second signal begins nothing anew.
     bench.wait(500 * MS);
-    bench.turn(Engine::end);
+    bench.turn(Engine::shut_down);
     bench.wait(250 * MS);
     let _ = told(&mut bench, caller);
     for (id, wait) in [(8, 0), (9, 2_000)] {
@@ -288,7 +291,7 @@
     let mut bench = Bench::new();
     let (exchange, caller) = (bench.up(1), bench.caller());
     bench.wait(1_000 * MS);
-    bench.turn(Engine::end);
+    bench.turn(Engine::shut_down);
     bench.wait(650 * MS);
     bench.set_up(caller, 7); // it waits 3 s: 50 ms past the end
     let mut answers = Vec::new();
@@ -312,7 +315,7 @@
 fn an_answer_leaves_before_its_connection_is_closed_as_unused() {
     let mut bench = Bench::new();
     let (exchange, caller) = (bench.up(1), bench.caller());
-    bench.turn(Engine::end);
+    bench.turn(Engine::shut_down);
     bench.wait(400 * MS);
     bench.set_up(caller, 7);
     bench.comes(exchange, &notify(3));
@@ -376,16 +379,16 @@
     let bytes = set_up_message(7, b"none");
     bench.turn(|e| {
         for part in bytes.chunks(64) {
-            e.room(caller).unwrap()[..part.len()].copy_from_slice(part);
-            e.filled(caller, part.len());
+            e.read_buffer(caller).unwrap()[..part.len()].copy_from_slice(part);
+            e.bytes_read(caller, part.len());
         }
-        e.read_ended(caller);
+        e.read_closed(caller);
     });
     assert_eq!(told(&mut bench, caller), [(binary::kind::RELEASE, 7, Some(41))]);
     assert!(bench.closed(caller));
     // The same with nothing to be answered.
     let silent = bench.caller();
-    bench.turn(|e| e.read_ended(silent));
+    bench.turn(|e| e.read_closed(silent));
     assert!(bench.closed(silent));
 }
 
@@ -442,7 +445,7 @@
     assert_eq!(told(&mut bench, caller), []);
     assert!((4..=15).contains(&checks), "{checks} checks in 30 s");
     let dialled = bench.outputs.iter().filter_map(|o| match o {
-        Output::Dial { conn, to } if to.port() == 1 => Some(*conn),
+        Output::Connect { conn, to } if to.port() == 1 => Some(*conn),
         _ => None,
     });
     assert_eq!(dialled.filter(|conn| !bench.closed(*conn)).count(), 2, "one check at a time");
@@ -533,7 +536,7 @@
         }
         bench.comes(exchange, &notify(0));
         bench.wait(1_100 * MS);
-        bench.turn(|e| e.lost(exchange));
+        bench.turn(|e| e.connection_lost(exchange));
         bench.wait(300 * MS);
         if dial_fails {
             let refused = bench.dialled(1).unwrap();
@@ -582,7 +585,7 @@
         }
         bench.wait(30 * MS);
         // All attempts end at once: in which order they do must not differ from run to run.
-        bench.turn(|e| exchanges.into_iter().for_each(|x| e.lost(x)));
+        bench.turn(|e| exchanges.into_iter().for_each(|x| e.connection_lost(x)));
         bench.wait(2_000 * MS);
         (bench.outputs, bench.written)
     };
--- a/rehearsal/src/virtual_clock.rs
+++ b/rehearsal/src/virtual_clock.rs
@@ -25,25 +25,25 @@
 /// [`Engine`].
 #[allow(missing_docs)]
 pub trait Controller {
-    fn begin(&mut self, now: Nanos);
+    fn begin_turn(&mut self, now: Nanos);
     fn tick(&self) -> Nanos;
-    fn next_due(&self) -> Option<Nanos>;
+    fn next_deadline(&self) -> Option<Nanos>;
     fn accepted(&mut self) -> Option<ConnId>;
     fn connected(&mut self, conn: ConnId);
     fn connect_failed(&mut self, conn: ConnId, refused: bool);
-    fn read_ended(&mut self, conn: ConnId);
-    fn room(&mut self, conn: ConnId) -> Option<&mut [u8]>;
-    fn filled(&mut self, conn: ConnId, count: usize);
-    fn sweep(&mut self);
-    fn carry_out(&mut self);
+    fn read_closed(&mut self, conn: ConnId);
+    fn read_buffer(&mut self, conn: ConnId) -> Option<&mut [u8]>;
+    fn bytes_read(&mut self, conn: ConnId, count: usize);
+    fn handle_deadlines(&mut self);
+    fn run_commands(&mut self);
     fn poll_output(&mut self) -> Option<Output>;
     fn poll_write(&mut self) -> Option<ConnId>;
-    fn pending(&self, conn: ConnId) -> &[u8];
-    fn wrote(&mut self, conn: ConnId, count: usize);
+    fn pending_bytes(&self, conn: ConnId) -> &[u8];
+    fn bytes_written(&mut self, conn: ConnId, count: usize);
     fn flushed(&mut self, conn: ConnId) -> Option<Interest>;
-    fn settled(&self) -> bool;
+    fn is_turn_complete(&self) -> bool;
     fn end_turn(&mut self);
-    fn end(&mut self);
+    fn shut_down(&mut self);
     /// The next closed interval of what it measures; `running`: the present one too.
     fn poll_interval(&mut self, _running: bool) -> Option<Interval> {
         None
@@ -55,7 +55,7 @@
         impl Controller for Engine {
             fn poll_interval(&mut self, running: bool) -> Option<Interval> {
                 if running {
-                    self.cut_interval();
+                    self.close_interval();
                 }
                 Engine::poll_interval(self)
             }
@@ -66,26 +66,26 @@
 }
 
 forward! {
-    begin(&mut self, now: Nanos);
+    begin_turn(&mut self, now: Nanos);
     accepted(&mut self) -> Option<ConnId>;
     connected(&mut self, conn: ConnId);
     connect_failed(&mut self, conn: ConnId, refused: bool);
-    read_ended(&mut self, conn: ConnId);
-    room(&mut self, conn: ConnId) -> Option<&mut [u8]>;
-    filled(&mut self, conn: ConnId, count: usize);
-    sweep(&mut self);
-    carry_out(&mut self);
+    read_closed(&mut self, conn: ConnId);
+    read_buffer(&mut self, conn: ConnId) -> Option<&mut [u8]>;
+    bytes_read(&mut self, conn: ConnId, count: usize);
+    handle_deadlines(&mut self);
+    run_commands(&mut self);
     poll_output(&mut self) -> Option<Output>;
     poll_write(&mut self) -> Option<ConnId>;
-    wrote(&mut self, conn: ConnId, count: usize);
+    bytes_written(&mut self, conn: ConnId, count: usize);
     flushed(&mut self, conn: ConnId) -> Option<Interest>;
     end_turn(&mut self);
-    end(&mut self);
+    shut_down(&mut self);
     |
     tick(&self) -> Nanos;
-    next_due(&self) -> Option<Nanos>;
-    pending(&self, conn: ConnId) -> &[u8];
-    settled(&self) -> bool;
+    next_deadline(&self) -> Option<Nanos>;
+    pending_bytes(&self, conn: ConnId) -> &[u8];
+    is_turn_complete(&self) -> bool;
 }
 
 /// Starts a controller from its configuration.
@@ -106,7 +106,7 @@
         let config = read_config(config)?;
         let told = read_settings(&config)?;
         let mut engine = Engine::new(now, config, told)?;
-        engine.measure(calendar.clone());
+        engine.start_measuring(calendar.clone());
         Ok(Box::new(engine))
     }
 }
@@ -180,7 +180,7 @@
     clock.world.advance(until);
     clock.world.close_books();
     for controller in clock.hosts.iter_mut().filter_map(|h| h.controller.as_mut()) {
-        controller.begin(until);
+        controller.begin_turn(until);
         clock.intervals.extend(std::iter::from_fn(|| controller.poll_interval(true)));
     }
     Ok((clock.world, clock.intervals))
@@ -238,8 +238,8 @@
                 }
                 Act::Signal(host, Signal::Terminate | Signal::Interrupt) => {
                     if let Some(controller) = &mut self.hosts[host].controller {
-                        controller.begin(self.now);
-                        controller.end();
+                        controller.begin_turn(self.now);
+                        controller.shut_down();
                     }
                     self.plan(host, self.now);
                 }
@@ -303,26 +303,26 @@
     fn turn(&mut self, host: usize) {
         let Some(mut controller) = self.hosts[host].controller.take() else { return };
         self.hosts[host].last_turn = self.now;
-        controller.begin(self.now);
+        controller.begin_turn(self.now);
         while let Some(what) = self.hosts[host].inbound.pop_front() {
             self.take_in(host, controller.as_mut(), what);
         }
-        controller.sweep();
+        controller.handle_deadlines();
         let mut stopped = false;
         loop {
-            controller.carry_out();
+            controller.run_commands();
             stopped |= self.perform(host, controller.as_mut());
             while let Some(conn) = controller.poll_write() {
                 let wire = self.hosts[host].conns.get(&conn).copied();
-                let pending = controller.pending(conn);
+                let pending = controller.pending_bytes(conn);
                 if let (Some(wire), false) = (wire, pending.is_empty()) {
                     let bytes = pending.to_vec();
-                    controller.wrote(conn, bytes.len());
+                    controller.bytes_written(conn, bytes.len());
                     self.later(Delivery::Bytes(wire, bytes));
                 }
                 controller.flushed(conn);
             }
-            if controller.settled() {
+            if controller.is_turn_complete() {
                 break;
             }
         }
@@ -333,7 +333,7 @@
             self.remove(host);
             return self.world.stopped(self.now, host);
         }
-        let due = controller.next_due();
+        let due = controller.next_deadline();
         self.hosts[host].controller = Some(controller);
         if let Some(due) = due {
             self.plan(host, due);
@@ -364,17 +364,17 @@
             Inbound::Bytes(wire, bytes) => {
                 let Some(conn) = self.hosts[host].wires.get(&wire).copied() else { return };
                 let mut rest = &bytes[..];
-                while let Some(room) = controller.room(conn).filter(|_| !rest.is_empty()) {
+                while let Some(room) = controller.read_buffer(conn).filter(|_| !rest.is_empty()) {
                     let count = room.len().min(rest.len());
                     room[..count].copy_from_slice(&rest[..count]);
                     rest = &rest[count..];
-                    controller.filled(conn, count);
+                    controller.bytes_read(conn, count);
                 }
             }
             Inbound::Ended(wire) => {
                 if let Some(conn) = self.hosts[host].wires.remove(&wire) {
                     self.hosts[host].conns.remove(&conn);
-                    controller.read_ended(conn);
+                    controller.read_closed(conn);
                 }
             }
         }
@@ -385,7 +385,7 @@
         let mut stopped = false;
         while let Some(output) = controller.poll_output() {
             match output {
-                Output::Dial { conn, to } => {
+                Output::Connect { conn, to } => {
                     self.hosts[host].dialling.insert(conn);
                     let generation = self.hosts[host].generation;
                     self.later(Delivery::Dialled(host, generation, conn, party(to)));
@@ -397,7 +397,7 @@
                         self.later(Delivery::Closed(wire));
                     }
                 }
-                Output::Finish(conn) => {
+                Output::ShutdownWrite(conn) => {
                     if let Some(wire) = self.hosts[host].conns.get(&conn).copied() {
                         self.later(Delivery::Closed(wire));
                         self.inbound(host, Inbound::Ended(wire));
--- a/rehearsal/tests/common/mod.rs
+++ b/rehearsal/tests/common/mod.rs
@@ -135,7 +135,7 @@
 
     fn dial(&mut self, to: SocketAddr, peer: Peer) -> ConnId {
         let conn = self.add(peer, false);
-        self.outputs.push_back(Output::Dial { conn, to });
+        self.outputs.push_back(Output::Connect { conn, to });
         conn
     }
 
@@ -371,13 +371,13 @@
 }
 
 impl Controller for Naive {
-    fn begin(&mut self, now: Nanos) {
+    fn begin_turn(&mut self, now: Nanos) {
         self.now = now;
     }
     fn tick(&self) -> Nanos {
         self.tick
     }
-    fn next_due(&self) -> Option<Nanos> {
+    fn next_deadline(&self) -> Option<Nanos> {
         self.timers.first().map(|t| t.0)
     }
     fn accepted(&mut self) -> Option<ConnId> {
@@ -393,17 +393,17 @@
     fn connect_failed(&mut self, conn: ConnId, _refused: bool) {
         self.gone(conn);
     }
-    fn read_ended(&mut self, conn: ConnId) {
+    fn read_closed(&mut self, conn: ConnId) {
         self.gone(conn);
     }
-    fn room(&mut self, conn: ConnId) -> Option<&mut [u8]> {
+    fn read_buffer(&mut self, conn: ConnId) -> Option<&mut [u8]> {
         Some(self.conns.get_mut(&conn)?.inbox.unfilled())
     }
-    fn filled(&mut self, conn: ConnId, count: usize) {
+    fn bytes_read(&mut self, conn: ConnId, count: usize) {
         self.conns.get_mut(&conn).expect("open").inbox.advance(count);
         self.take_in(conn);
     }
-    fn sweep(&mut self) {
+    fn handle_deadlines(&mut self) {
         while let Some((_, id)) = self.timers.pop_first_if(|t| t.0 <= self.now) {
             match id {
                 0 => {
@@ -416,27 +416,27 @@
             }
         }
     }
-    fn carry_out(&mut self) {}
+    fn run_commands(&mut self) {}
     fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
     fn poll_write(&mut self) -> Option<ConnId> {
         self.touched.pop_first()
     }
-    fn pending(&self, conn: ConnId) -> &[u8] {
+    fn pending_bytes(&self, conn: ConnId) -> &[u8] {
         self.conns.get(&conn).filter(|c| c.up).map_or(&[], |c| &c.out)
     }
-    fn wrote(&mut self, conn: ConnId, count: usize) {
+    fn bytes_written(&mut self, conn: ConnId, count: usize) {
         self.conns.get_mut(&conn).expect("open").out.drain(..count);
     }
     fn flushed(&mut self, _conn: ConnId) -> Option<Interest> {
-        Some(Interest { reads: true, writes: false })
+        Some(Interest { readable: true, writable: false })
     }
-    fn settled(&self) -> bool {
+    fn is_turn_complete(&self) -> bool {
         self.outputs.is_empty() && self.touched.is_empty()
     }
     fn end_turn(&mut self) {}
-    fn end(&mut self) {}
+    fn shut_down(&mut self) {}
 }
 
 /// `BTreeSet::pop_first` under a condition.
