--- a/src/bin/pitchgw-wirehost.rs
+++ b/src/bin/pitchgw-wirehost.rs
@@ -1,5 +1,5 @@
-//! Hosts many instances of the decision module on the line protocol of [`pitchgw::wire`]: standard input to
-//! standard output. The instances share nothing, and nothing is decided here.
+//! Runs many instances of the decision module on the line protocol of [`pitchgw::wire`], over standard input
+//! and output. The instances are independent; the host makes no decisions.
 #![forbid(unsafe_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 use pitchgw::interface::{Action, Nanos};
-use pitchgw::wire::{Message, NameTable, Pages, WireError};
+use pitchgw::wire::{ListPages, Message, NameTable, WireError};
 use pitchgw::Controller;
 use serde_json::json;
 
@@ -20,80 +20,81 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<String, Instance>,
-    /// Instances that were stopped: what still arrives for them is void.
+    /// Instances that were stopped; messages that still arrive for them are ignored.
     stopped: BTreeSet<String>,
-    pages: Pages,
+    pages: ListPages,
+    /// Time of the batch in progress.
     now: Option<Nanos>,
     reply: Vec<String>,
 }
 
-fn fault(event: &str, field: &str, expected: &str) -> WireError {
+fn wire_error(event: &str, field: &str, expected: &str) -> WireError {
     WireError { event: event.into(), field: field.into(), expected: expected.into() }
 }
 
 impl Host {
-    /// Takes one line; true when the batch is complete and the reply is due.
-    fn line(&mut self, line: &str) -> Result<bool, WireError> {
-        let m = Message::parse(line)?;
-        if m.name == "SYNC" {
+    /// Processes one line. Returns true when the batch is complete and the reply has to be written.
+    fn handle_line(&mut self, line: &str) -> Result<bool, WireError> {
+        let message = Message::parse(line)?;
+        if message.name == "SYNC" {
             if self.now.is_some() {
-                return Err(fault("SYNC", "order", "FLUSH before the next batch"));
+                return Err(wire_error("SYNC", "order", "FLUSH before the next batch"));
             }
-            self.now = Some(m.whole(0, "clock")?);
+            self.now = Some(message.integer(0, "clock")?);
             return Ok(false);
         }
-        let Some(now) = self.now else { return Err(fault(&m.name, "order", "SYNC first")) };
-        match m.name.as_str() {
+        let Some(now) = self.now else { return Err(wire_error(&message.name, "order", "SYNC first")) };
+        match message.name.as_str() {
             "FLUSH" => {
                 self.now = None;
                 return Ok(true);
             }
-            "PAGE" => self.pages.put(&m)?,
-            "LAUNCH" => self.launch(&m)?,
+            "PAGE" => self.pages.insert(&message)?,
+            "LAUNCH" => self.launch(&message)?,
             "KILL" => {
-                let name = m.text(0, "i")?;
+                let name = message.text(0, "i")?;
                 if self.instances.remove(name).is_some() {
                     self.stopped.insert(name.to_string());
                 } else if !self.stopped.contains(name) {
-                    return Err(fault(&m.name, "i", "an instance launched before"));
+                    return Err(wire_error(&message.name, "i", "an instance launched before"));
                 }
             }
-            _ => self.event(now, &m)?,
+            _ => self.dispatch(now, &message)?,
         }
         Ok(false)
     }
 
-    fn launch(&mut self, m: &Message) -> Result<(), WireError> {
-        let name = m.text(0, "i")?.to_string();
-        let (names, settings, seed) = NameTable::from_launch(m)?;
+    fn launch(&mut self, message: &Message) -> Result<(), WireError> {
+        let name = message.text(0, "i")?.to_string();
+        let (names, settings, seed) = NameTable::from_launch(message)?;
         let controller = Controller::new(settings, seed)
-            .map_err(|e| fault("LAUNCH", "boot-info", &format!("sound settings ({e})")))?;
+            .map_err(|e| wire_error("LAUNCH", "boot-info", &format!("valid settings ({e})")))?;
         self.stopped.remove(&name);
         self.instances.insert(name, Instance { controller, names });
         Ok(())
     }
 
-    fn event(&mut self, now: Nanos, m: &Message) -> Result<(), WireError> {
-        let name = m.text(0, "i")?;
+    fn dispatch(&mut self, now: Nanos, message: &Message) -> Result<(), WireError> {
+        let name = message.text(0, "i")?;
         let Some(instance) = self.instances.get_mut(name) else {
             if self.stopped.contains(name) {
                 return Ok(());
             }
-            return Err(fault(&m.name, "i", "an instance launched before"));
+            return Err(wire_error(&message.name, "i", "an instance launched before"));
         };
-        let Some(event) = instance.names.event(m, &self.pages)? else { return Ok(()) };
+        let Some(event) = instance.names.parse_event(message, &self.pages)? else { return Ok(()) };
         let mut actions: Vec<Action> = Vec::new();
         let controller = &mut instance.controller;
-        // A failure inside the module must not reach the pipe as anything but a message.
-        let handled = catch_unwind(AssertUnwindSafe(|| controller.handle_event(now, event, &mut actions)));
-        if let Err(panic) = handled {
+        // A panic in the module is reported as a message, so that the output stays valid.
+        let result = catch_unwind(AssertUnwindSafe(|| controller.handle_event(now, event, &mut actions)));
+        if let Err(panic) = result {
             let text = (panic.downcast_ref::<String>().map(String::as_str))
                 .or(panic.downcast_ref::<&str>().copied())
                 .unwrap_or("panic");
             self.reply.push(json!(["INTERNAL_ERROR", name, text]).to_string());
             return Ok(());
         }
-        self.reply.extend(actions.iter().filter_map(|a| instance.names.action(name, a)));
+        self.reply.extend(actions.iter().filter_map(|a| instance.names.format_action(name, a)));
         Ok(())
     }
 }
@@ -108,14 +109,14 @@
         if input.read_until(b'\n', &mut line).map_err(|e| format!("input: {e}"))? == 0 {
             return match host.now {
                 None => Ok(()),
-                Some(_) => Err(fault("input", "end", "FLUSH before the end of input").to_string()),
+                Some(_) => Err(wire_error("input", "end", "FLUSH before the end of input").to_string()),
             };
         }
-        let text = std::str::from_utf8(&line).map_err(|_| fault("line", "text", "UTF-8").to_string())?;
+        let text = std::str::from_utf8(&line).map_err(|_| wire_error("line", "text", "UTF-8").to_string())?;
         if text.trim().is_empty() {
             continue;
         }
-        if host.line(text).map_err(|e| e.to_string())? {
+        if host.handle_line(text).map_err(|e| e.to_string())? {
             for reply in host.reply.drain(..) {
                 writeln!(output, "{reply}").map_err(|e| format!("output: {e}"))?;
             }
@@ -126,7 +127,7 @@
 }
 
 fn main() -> ExitCode {
-    // The text of a panic goes out as INTERNAL_ERROR; keep standard error to one plain line.
+    // The text of a panic is sent as INTERNAL_ERROR; standard error is kept to one line.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,8 +1,11 @@
-//! All decisions of one exchange. The types that come in and go out are in `src/interface.rs`.
+//! All routing and admission decisions of one exchange. `src/interface.rs` has the input and output types.
 //!
-//! The mechanism is Profit Optimal Congestion Control (Arvidsson, Pettersson, Angelin) as `docs/design.md`
-//! tells it: predict the set-up's completion from this exchange's own recent round-trip delays, send the
-//! call only when the expected payoff of trying beats refusing.
+//! The mechanism is Profit Optimal Congestion Control (Arvidsson, Pettersson, Angelin), described in
+//! `docs/design.md`: predict how long a set-up takes from this exchange's own recent round-trip delays, and
+//! send the call only when the expected payoff of trying exceeds that of refusing.
+//!
+//! Spans in "targets" are multiples of a delay target: the time within which a call has to stand to earn its
+//! full worth.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,216 +14,228 @@
 
 use crate::interface::*;
 
-// ---------------------------------------------------------------------------------------------------------
-// Tuned constants
-// ---------------------------------------------------------------------------------------------------------
-
-/// Routes kept for each exchange listed: the direct one and the tandems that carry most of what is blocked.
-/// When the table is full, the half that has been unused longest is forgotten.
-const ROUTES_KEPT: usize = 24;
-/// Longest aims after which a route that nothing was sent on is tried again, and the share of an aim that
-/// its least round trip is then taken for at the most.
-const UNTRIED_AIMS: f64 = 5.0;
-const UNTRIED_LEAST: f64 = 0.5;
-/// Multiples of the aim that a full, turned-back or timed-out set-up counts for as a round trip.
-const FAILED_AIMS: f64 = 2.0;
-/// One busy route in so many takes rho times its least or less.
-const LOAD_QUANTILE: usize = 3;
-/// Aims that a failure holds at the most on a route that is seldom asked for.
-const HOLD_AIMS: f64 = 4.0;
-/// Weight of the newest gap between two calls for one destination.
-const GAP_GAIN: f64 = 0.25;
-/// Share of the longest aim after which a set-up out tells of its own route and no more of the load.
-const SILENT_AIMS: f64 = 0.5;
-/// Weight of the newest set-up in the running time per set-up out.
-const PACE_GAIN: f64 = 0.05;
-/// Time per set-up out, in longest aims, that is assumed before any answer: an agent that starts
-/// in the middle of trouble (its predecessor's calls cut, all dialling again) must not send them all unseen.
-const START_PACE: f64 = 0.1;
-/// Weight of the newest set-up in the running shares: of those not turned back by tandems, and of those that
-/// an exchange fails for no cause told.
-const SHARE_GAIN: f64 = 0.05;
-/// Seconds that a timer must be overdue to tell of an own pause.
-const PAUSE: f64 = 0.1;
-/// Weight of the newest error in the running spread of errors.
-const SPREAD_GAIN: f64 = 0.05;
-/// Least spread, as a share of the limit.
-const SPREAD_FLOOR: f64 = 0.1;
-/// What failing costs more than refusing, as a share of the call's worth.
-const FAIL_COST: f64 = 0.2;
-/// What a set-up costs the calls behind it for each aim of predicted time, in mean worths.
-const TIME_COST: f64 = 0.8;
-/// Weight of the newest call in the running means of worth and circuit-seconds.
-const MEAN_GAIN: f64 = 0.01;
-/// What a call displaces on a group with none to spare, as a share of what its circuits earn on average.
-const CIRCUIT_COST: f64 = 0.6;
-/// Free circuits, in square roots of the group's size, at which a seized circuit displaces nothing.
-const SCARCE_ROOTS: f64 = 1.0;
-/// Circuits of a group kept from tandem calls, in square roots of its size.
-const RESERVE_ROOTS: f64 = 0.4;
-/// A call worth this multiple of the mean per circuit-second may take the reserved circuits.
-const URGENT_DENSITY: f64 = 3.0;
-/// Seconds that a number is left alone after its lines were all engaged; doubled each time, to the second.
-const CROWD_GAP: (f64, f64) = (1.0, 8.0);
-/// Dialled numbers remembered at the most; the longest untouched goes first.
-const NUMBERS_KEPT: usize = 5000;
-/// Seconds over which the rate of standing calls is averaged (guess of an exchange's capacity).
-const RATE_SPAN: f64 = 15.0;
-/// Set-ups a second that a warm exchange surely bears for each call a second that comes to stand: it looks at
-/// that call, sets it up, answers and releases it, and does the same for about one that ends there.
-const WARM_SET_UPS: f64 = 3.0;
-/// Least share of that span that must be measured before its rate is taken for whole.
-const RATE_START: f64 = 0.2;
-/// Seconds over which the highest such rate fades.
-const PEAK_SPAN: f64 = 600.0;
-/// Above this share the exchange is at fault and not the call: another attempt may do.
-const FAULTY: f64 = 0.1;
-/// Aims that a refused caller is asked to stay away: while it can still be in time, and after that.
-const PAUSE_AIMS: [f64; 2] = [0.15, 1.0];
-/// Ticks before the caller's deadline at which an answer is given whatever happens.
-const ANSWER_TICKS: u64 = 2;
-/// Seconds between two tries to get the list where it must be asked for.
-const ASK_AGAIN: f64 = 1.0;
-/// The token of the timer that asks for the list; calls use their own number.
-const ASK_TOKEN: u64 = u64::MAX;
-
-/// Chance that a standard normal value is at most `x`.
-fn normal(x: f64) -> f64 {
+/// Routes remembered per listed exchange: the direct one and the tandems that carry most of the overflow.
+/// When the table is full, the least recently used half is evicted.
+const MAX_ROUTES_PER_EXCHANGE: usize = 24;
+/// A route unused for this many longest targets is tried again.
+const UNUSED_ROUTE_RETRY_TARGETS: f64 = 5.0;
+/// Upper limit of the minimum round trip assumed for such a route, in longest targets.
+const UNUSED_ROUTE_RTT_CAP_TARGETS: f64 = 0.5;
+/// Round trip recorded for a set-up that was rejected or timed out, in targets of its class.
+const FAILED_SET_UP_RTT_TARGETS: f64 = 2.0;
+/// The delay ratio is taken at the first 1/n of the active routes in ascending order.
+const DELAY_RATIO_QUANTILE: usize = 3;
+/// Longest time that a failure stays in force on a route with infrequent calls, in targets of the class.
+const MAX_FAILURE_HOLD_TARGETS: f64 = 4.0;
+/// Smoothing factor of the interval between calls for one destination.
+const CALL_INTERVAL_SMOOTHING: f64 = 0.25;
+/// A set-up pending for longer than this, in longest targets, counts as evidence on its own route only and no
+/// longer towards the load.
+const SILENCE_THRESHOLD_TARGETS: f64 = 0.5;
+/// Smoothing factor of the time per pending set-up and of the typical minimum round trip.
+const ROUND_TRIP_SMOOTHING: f64 = 0.05;
+/// Time per pending set-up assumed before any answer, in longest targets. A controller that starts during a
+/// mass redial (its predecessor's calls were cut) must not send every call before the first answer.
+const INITIAL_TIME_PER_PENDING_TARGETS: f64 = 0.1;
+/// Smoothing factor of the shares: tandem set-ups accepted, and set-ups that an exchange fails without cause.
+const SHARE_SMOOTHING: f64 = 0.05;
+/// A timer overdue by more than this shows that this process itself was paused.
+const PAUSE_DETECTION_SECS: f64 = 0.1;
+/// Smoothing factor of the variance of prediction errors.
+const ERROR_VARIANCE_SMOOTHING: f64 = 0.05;
+/// Least standard deviation assumed for prediction errors, in targets of the call's class.
+const MIN_ERROR_DEVIATION_TARGETS: f64 = 0.1;
+/// Cost of a failure over that of a refusal, as a share of the call's worth.
+const FAILURE_COST_SHARE: f64 = 0.2;
+/// Cost that a set-up imposes on the calls behind it, in mean worths per target of predicted time.
+const SET_UP_TIME_COST_MEAN_WORTHS: f64 = 0.8;
+/// Smoothing factor of the mean worth and circuit-seconds per call.
+const CALL_MEAN_SMOOTHING: f64 = 0.01;
+/// What a call displaces on a fully scarce trunk group, as a share of what its circuits earn on average.
+const CIRCUIT_COST_SHARE: f64 = 0.6;
+/// Free circuits, in square roots of the group size, from which a seized circuit displaces nothing.
+const AMPLE_CIRCUITS_SQRT_SIZES: f64 = 1.0;
+/// Circuits of a group reserved against tandem calls, in square roots of the group size.
+const TANDEM_RESERVE_SQRT_SIZES: f64 = 0.4;
+/// A call worth this multiple of the mean per circuit-second may use the reserved circuits.
+const URGENT_WORTH_DENSITY_RATIO: f64 = 3.0;
+/// First backoff of a number whose lines were all engaged; it doubles with each further busy result.
+const BUSY_NUMBER_FIRST_BACKOFF_SECS: f64 = 1.0;
+/// Longest backoff of a busy number.
+const BUSY_NUMBER_MAX_BACKOFF_SECS: f64 = 8.0;
+/// Capacity of the table of dialled numbers. When it is full, expired entries are removed; if none has
+/// expired, the table is cleared.
+const MAX_DIALLED_NUMBERS: usize = 5000;
+/// Time constant of the rate of carried calls, from which an exchange's capacity is estimated.
+const CARRIED_RATE_SPAN_SECS: f64 = 15.0;
+/// Set-ups per second that a warm exchange can take per call per second carried here. For each such call it
+/// processes the set-up, the answer and the release, and as much again for about one call that ends there.
+const WARM_SET_UPS_PER_CARRIED_CALL: f64 = 3.0;
+/// Lower limit of the share of the averaging span used to correct a rate measured for less than the span.
+const MIN_MEASURED_SPAN_SHARE: f64 = 0.2;
+/// Time constant of the decay of the peak carried rate. Destinations without a call for as long are removed.
+const PEAK_RATE_DECAY_SECS: f64 = 600.0;
+/// Above this share of unexplained failures the exchange is at fault, not the call: a retry may succeed.
+const FAULTY_EXCHANGE_SHARE: f64 = 0.1;
+/// Retry-after time of a refused call that can still be on time, in longest targets.
+const RETRY_AFTER_ON_TIME_TARGETS: f64 = 0.15;
+/// Retry-after time of a refused call that can only be late, in longest targets.
+const RETRY_AFTER_LATE_TARGETS: f64 = 1.0;
+/// A final answer is given this many ticks before the caller's deadline in any case.
+const ANSWER_MARGIN_TICKS: u64 = 2;
+/// Interval between requests for the list of exchanges after one failed.
+const LIST_RETRY_SECS: f64 = 1.0;
+/// Timer token of the list request; the timers of calls use the call's id.
+const LIST_RETRY_TOKEN: u64 = u64::MAX;
+
+/// Cumulative distribution function of the standard normal distribution.
+fn normal_cdf(x: f64) -> f64 {
     0.5 * libm::erfc(-x / std::f64::consts::SQRT_2)
 }
 
-// ---------------------------------------------------------------------------------------------------------
-// Predictor
-// ---------------------------------------------------------------------------------------------------------
+/// Identifies a route.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RouteKey {
+    /// Number of the destination.
+    destination: u32,
+    /// The exchange that the set-up is sent to.
+    first_hop: ExchangeId,
+}
 
-/// A route: the destination's number and the exchange the set-up is sent to first.
-type RouteKey = (u32, ExchangeId);
+/// A set-up that has not been answered yet, ordered by time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct PendingSetUp {
+    sent_at: Nanos,
+    call: CallId,
+}
 
 /// The last round trip of a route.
 #[derive(Clone, Copy, Debug)]
 struct RoundTrip {
-    took: f64,
-    at: Nanos,
-    /// Whether it tells how long a set-up takes: an answer or a silence, but no turning away.
-    timed: bool,
-    /// Whether it counts as twice the aim, for the call did not stand.
+    duration_secs: f64,
+    ended_at: Nanos,
+    /// Whether it shows how long a set-up takes: true for an answer or a silence, false for a rejection.
+    measures_delay: bool,
+    /// The call did not stand; the duration is the fixed one of failures.
     failed: bool,
-    /// Longest time in seconds that it stays valid: one aim, so that one pause cannot close a route for long.
-    valid: f64,
-    /// Time in seconds that a failure of the far side holds on this route, past that.
-    holds: f64,
+    /// Upper limit of its validity: one target, so that a single pause cannot close a route for long.
+    max_validity_secs: f64,
+    /// How long a failure on the far side stays in force on this route, beyond that validity.
+    failure_hold_secs: f64,
 }
 
-/// The present load as this exchange sees it.
+/// Estimate of the present load.
 #[derive(Clone, Copy, Debug)]
-struct Load {
-    /// How many times its least a busy route takes, one at least.
-    rho: f64,
-    /// Set-ups of this exchange out, one more included.
-    out: f64,
-    /// The least round trip, in seconds, taken for a route that has none yet.
-    typical: f64,
-    /// The longest aim, in seconds.
-    aim: f64,
+struct LoadEstimate {
+    /// Present delay of active routes as a multiple of their minimum, at least 1 (rho in the paper).
+    delay_ratio: f64,
+    /// Pending set-ups of this exchange, including the one being decided.
+    pending_set_ups: f64,
+    /// Minimum round trip assumed for a route without one.
+    typical_min_rtt_secs: f64,
+    longest_target_secs: f64,
 }
 
-/// What is remembered of one route.
+/// State of one route.
 #[derive(Clone, Debug, Default)]
 struct Route {
-    least: Option<f64>,
-    last: Option<RoundTrip>,
-    /// Set-ups that were sent and have shown no sign yet.
-    out: Vec<(Nanos, CallId)>,
-    /// Failures in a row, each sent after the one before was known; two at the most.
-    failures: u32,
-    /// When the newest answered set-up had been sent: older ones still out are strays.
-    answered_sent: Nanos,
-    used: Nanos,
+    min_rtt_secs: Option<f64>,
+    last_round_trip: Option<RoundTrip>,
+    pending: Vec<PendingSetUp>,
+    /// Consecutive failures, each of a set-up sent after the previous failure was known; counts to two.
+    consecutive_failures: u32,
+    /// When the newest answered set-up was sent. Older set-ups still pending are ignored as strays.
+    newest_answered_sent_at: Nanos,
+    last_used: Nanos,
 }
 
 impl Route {
-    fn waiting_since(&self) -> Option<Nanos> {
-        self.out.iter().map(|s| s.0).find(|s| *s >= self.answered_sent)
+    fn oldest_pending_sent_at(&self) -> Option<Nanos> {
+        self.pending.iter().map(|p| p.sent_at).find(|sent| *sent >= self.newest_answered_sent_at)
     }
 
-    fn valid_last(&self, now: Nanos, rho: f64) -> Option<RoundTrip> {
-        self.last.filter(|l| secs(now - l.at) < (l.took * rho).min(l.valid))
+    fn valid_round_trip(&self, now: Nanos, delay_ratio: f64) -> Option<RoundTrip> {
+        self.last_round_trip.filter(|last| {
+            nanos_to_secs(now - last.ended_at)
+                < (last.duration_secs * delay_ratio).min(last.max_validity_secs)
+        })
     }
 
-    /// The least round trip in seconds, as far as it may be trusted. Only an answer lowers it: one that came
-    /// late after a hang once closed its route for good, for nothing was sent to be answered sooner. So on a
-    /// route that nothing was sent on for long a call tries again. The load keeps its say.
-    fn trusted_least(&self, now: Nanos, load: Load) -> f64 {
-        let untried = secs(now - self.used) > UNTRIED_AIMS * load.aim;
-        let most = if untried { UNTRIED_LEAST * load.aim } else { f64::INFINITY };
-        self.least.unwrap_or(load.typical).min(most)
+    /// The minimum round trip as far as it can be relied on. Only an answer lowers the minimum: after a hang,
+    /// one late first answer closed its route permanently, because nothing was sent that could have been
+    /// answered sooner. A route unused for long therefore gets a lower assumed minimum, so that a call tries
+    /// it again. The delay ratio still applies.
+    fn trusted_min_rtt_secs(&self, now: Nanos, load: LoadEstimate) -> f64 {
+        let unused =
+            nanos_to_secs(now - self.last_used) > UNUSED_ROUTE_RETRY_TARGETS * load.longest_target_secs;
+        let cap =
+            if unused { UNUSED_ROUTE_RTT_CAP_TARGETS * load.longest_target_secs } else { f64::INFINITY };
+        self.min_rtt_secs.unwrap_or(load.typical_min_rtt_secs).min(cap)
     }
 
-    /// Predicted time in seconds of a set-up sent now.
-    fn predict(&self, now: Nanos, load: Load) -> f64 {
-        let rho = load.rho;
-        let scaled = self.trusted_least(now, load) * rho;
-        if let Some(sent) = self.waiting_since() {
-            return secs(now - sent) + scaled; // state 2: a set-up is out
+    /// Predicted duration of a set-up sent now.
+    fn predict_secs(&self, now: Nanos, load: LoadEstimate) -> f64 {
+        let delay_ratio = load.delay_ratio;
+        let scaled_min_rtt = self.trusted_min_rtt_secs(now, load) * delay_ratio;
+        if let Some(sent) = self.oldest_pending_sent_at() {
+            return nanos_to_secs(now - sent) + scaled_min_rtt; // state 2: a set-up is pending
         }
-        let held = self.last.filter(|l| secs(now - l.at) < l.holds);
-        match self.valid_last(now, rho).or(held) {
-            Some(last) => last.took, // state 3: a recent round trip
-            None => scaled,          // state 1: idle
+        let held_failure =
+            self.last_round_trip.filter(|last| nanos_to_secs(now - last.ended_at) < last.failure_hold_secs);
+        match self.valid_round_trip(now, delay_ratio).or(held_failure) {
+            Some(last) => last.duration_secs, // state 3: a recent round trip
+            None => scaled_min_rtt,           // state 1: idle
         }
     }
 }
 
-// ---------------------------------------------------------------------------------------------------------
-// State
-// ---------------------------------------------------------------------------------------------------------
-
 #[derive(Clone, Debug)]
 struct Exchange {
     number: u32,
     since: Option<Nanos>,
     standing: ExchangeState,
-    /// While it is cold: nothing is sent to it before.
-    next: Nanos,
-    /// Running share of set-ups that it fails for no cause told.
-    faults: f64,
+    /// During the cold start: earliest time of the next set-up to it.
+    next_cold_send: Nanos,
+    /// Smoothed share of set-ups that it fails without giving a cause.
+    fault_share: f64,
 }
 
-/// What is remembered of a destination's number.
+/// State of a destination's number.
 #[derive(Clone, Debug, Default)]
 struct Destination {
-    /// The tandem that worked last.
-    tandem: Option<ExchangeId>,
-    /// When a call for it came last, and the running gap in seconds between two.
-    asked: Option<Nanos>,
-    gap: f64,
+    /// The tandem of the last overflow call, if that call stood.
+    last_good_tandem: Option<ExchangeId>,
+    last_call_at: Option<Nanos>,
+    mean_call_interval_secs: f64,
 }
 
-/// A trunk group from here. It belongs to a number, not to the machine that bears it: one that takes the
-/// place of another has the same circuits, and nothing is told of them until one is seized or freed.
+/// A trunk group of this exchange. It belongs to the number of the far exchange, not to the machine in
+/// service there: a replacement machine has the same circuits, and its first report comes only when a
+/// circuit is seized or freed.
 #[derive(Clone, Copy, Debug)]
-struct Group {
+struct TrunkGroup {
     free: f64,
     size: f64,
 }
 
-/// Nothing was told of a group yet.
-const UNKNOWN: Group = Group { free: f64::INFINITY, size: 0.0 };
+/// A group without any report.
+const UNREPORTED_GROUP: TrunkGroup = TrunkGroup { free: f64::INFINITY, size: 0.0 };
 
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     number: u32,
     exchange: ExchangeId,
-    sent: Nanos,
-    predicted: Option<f64>,
-    /// Set-ups of this exchange out when it was sent, itself included.
-    load: f64,
-    /// Whether by the advised tandem: 1, else 0.
-    advised: usize,
+    sent_at: Nanos,
+    /// `None` on a route without a minimum round trip.
+    predicted_secs: Option<f64>,
+    /// Pending set-ups of this exchange when it was sent, including itself.
+    pending_when_sent: f64,
+    /// Index into [`Controller::tandem_acceptance`].
+    acceptance_index: usize,
 }
 
-/// How an attempt ended.
-struct Ending {
+/// The end of an attempt, as reported.
+struct AttemptEnd {
     call: CallId,
     attempt: u32,
     outcome: Outcome,
@@ -228,711 +243,848 @@
     call_over: bool,
 }
 
+/// Where to send a call.
+struct RouteChoice {
+    exchange: ExchangeId,
+    predicted_secs: f64,
+    /// How long to wait before sending.
+    wait: Nanos,
+}
+
 #[derive(Clone, Debug)]
 struct Call {
-    new: NewCall,
-    aim_at: Nanos,
+    request: NewCall,
+    on_time_until: Nanos,
     answer_by: Nanos,
-    attempts: u32,
-    out: Option<Attempt>,
+    attempt_count: u32,
+    pending_attempt: Option<Attempt>,
     stands: bool,
-    /// The final answer was given, or is owed no more.
-    over: bool,
-    /// Not to be sent before this time (release wait).
+    /// The final answer was given or is no longer due.
+    answered: bool,
+    /// Earliest time of the next attempt (release wait).
     not_before: Nanos,
-    /// An ended attempt has no outcome proving that it never ran.
+    /// An attempt ended with an outcome that does not rule out that it ran.
     may_have_run: bool,
     tried: Vec<ExchangeId>,
 }
 
-/// What is remembered of a number that was dialled and not reached.
+/// State of a dialled number that has not been reached.
 #[derive(Clone, Copy, Debug)]
-struct Number {
-    /// When the caller's first try came.
-    first: Nanos,
-    /// Lines all engaged: left alone until then, and for how many seconds next time.
-    engaged_until: Nanos,
-    gap: f64,
+struct DialledNumber {
+    first_try_at: Nanos,
+    /// All lines were engaged: no set-up before this time.
+    busy_until: Nanos,
+    next_backoff_secs: f64,
 }
 
 /// The decision module of one exchange.
 pub struct Controller {
-    set: Settings,
+    settings: Settings,
     rng: ChaCha8Rng,
     exchanges: BTreeMap<ExchangeId, Exchange>,
-    groups: BTreeMap<u32, Group>,
-    /// The machine in service that bears a number.
-    serving: BTreeMap<u32, ExchangeId>,
+    /// Trunk groups by the number of the far exchange.
+    trunk_groups: BTreeMap<u32, TrunkGroup>,
+    /// The machine in service for each number.
+    machines_in_service: BTreeMap<u32, ExchangeId>,
     routes: BTreeMap<RouteKey, Route>,
-    /// Routes with a set-up out or a round trip that is still valid: no others count in rho.
-    busy: BTreeSet<RouteKey>,
-    /// When each set-up out was sent, those out for too long to tell of the load left out.
-    loud: BTreeSet<(Nanos, CallId)>,
+    /// Routes with a pending set-up or a valid round trip: the ones that determine the delay ratio.
+    active_routes: BTreeSet<RouteKey>,
+    /// Pending set-ups that count towards the load; those pending beyond the silence threshold are left out.
+    counted_set_ups: BTreeSet<PendingSetUp>,
     calls: BTreeMap<CallId, Call>,
-    numbers: BTreeMap<NumberId, Number>,
+    dialled_numbers: BTreeMap<NumberId, DialledNumber>,
     destinations: BTreeMap<u32, Destination>,
-    /// Running share of tandem set-ups that are not turned back: by other tandems, and by advised ones.
-    through: [f64; 2],
-    started: Option<Nanos>,
-    /// When an answer last came soon.
-    soon: Nanos,
-    spread2: f64,
-    /// Running seconds that a set-up takes for each one out.
-    pace: f64,
-    /// Running mean of the least round trips of routes that answer.
-    typical: f64,
-    /// The longest aim of the classes, in seconds: what is silence to it is silence to all.
-    aim: f64,
+    /// Smoothed share of tandem set-ups that are not turned back: by other tandems (0), by advised ones (1).
+    tandem_acceptance: [f64; 2],
+    first_call_at: Option<Nanos>,
+    /// When the last answer within the silence threshold came.
+    last_prompt_answer_at: Nanos,
+    /// Smoothed square of the prediction error, in seconds squared.
+    error_variance: f64,
+    /// Smoothed duration of a set-up divided by the number pending.
+    secs_per_pending_set_up: f64,
+    /// Smoothed minimum round trip of the routes that answer.
+    typical_min_rtt_secs: f64,
+    /// Longest delay target of all classes; the silence threshold is the same for every class.
+    longest_target_secs: f64,
     mean_worth: f64,
-    /// Running mean of circuit-seconds per call.
-    mean_use: f64,
-    /// Calls that come to stand here, a second: now, and the most there was (fading).
-    rate: f64,
-    peak: f64,
-    rate_at: Nanos,
-    asked: bool,
-    /// When timers are due; how long this agent has stood still so far, and when it last woke.
-    due: BTreeSet<Nanos>,
-    paused: Nanos,
-    woke: Nanos,
+    mean_circuit_secs: f64,
+    /// Calls carried per second, smoothed.
+    carried_rate: f64,
+    /// Highest such rate, decaying.
+    peak_carried_rate: f64,
+    carried_rate_updated_at: Nanos,
+    list_requested: bool,
+    timers_due: BTreeSet<Nanos>,
+    /// Total time for which this process was paused.
+    total_pause: Nanos,
+    last_wake_at: Nanos,
 }
 
 impl Controller {
-    /// A controller that has seen nothing yet.
-    pub fn new(set: Settings, seed: u64) -> Result<Controller, SettingsError> {
-        set.validate()?;
-        let least = set.classes.iter().map(|c| c.worth).fold(f64::INFINITY, f64::min);
-        let use_ = set.classes.iter().map(Class::circuit_seconds).fold(f64::INFINITY, f64::min);
+    /// Creates a controller without any observations.
+    pub fn new(settings: Settings, seed: u64) -> Result<Controller, SettingsError> {
+        settings.validate()?;
+        let least_worth = settings.classes.iter().map(|c| c.worth).fold(f64::INFINITY, f64::min);
+        let least_circuit_secs =
+            settings.classes.iter().map(Class::circuit_seconds).fold(f64::INFINITY, f64::min);
         Ok(Controller {
             rng: ChaCha8Rng::seed_from_u64(seed),
             exchanges: BTreeMap::new(),
-            groups: BTreeMap::new(),
-            serving: BTreeMap::new(),
-            busy: BTreeSet::new(),
-            loud: BTreeSet::new(),
+            trunk_groups: BTreeMap::new(),
+            machines_in_service: BTreeMap::new(),
+            active_routes: BTreeSet::new(),
+            counted_set_ups: BTreeSet::new(),
             routes: BTreeMap::new(),
             calls: BTreeMap::new(),
-            numbers: BTreeMap::new(),
+            dialled_numbers: BTreeMap::new(),
             destinations: BTreeMap::new(),
-            through: [1.0; 2],
-            started: None,
-            soon: 0,
-            spread2: 0.0,
-            pace: START_PACE * set.longest_aim(),
-            aim: set.longest_aim(),
-            set,
-            typical: 0.0,
-            mean_worth: least,
-            mean_use: use_,
-            rate: 0.0,
-            peak: 0.0,
-            rate_at: 0,
-            asked: false,
-            due: BTreeSet::new(),
-            paused: 0,
-            woke: 0,
+            tandem_acceptance: [1.0; 2],
+            first_call_at: None,
+            last_prompt_answer_at: 0,
+            error_variance: 0.0,
+            secs_per_pending_set_up: INITIAL_TIME_PER_PENDING_TARGETS * settings.longest_target_secs(),
+            longest_target_secs: settings.longest_target_secs(),
+            settings,
+            typical_min_rtt_secs: 0.0,
+            mean_worth: least_worth,
+            mean_circuit_secs: least_circuit_secs,
+            carried_rate: 0.0,
+            peak_carried_rate: 0.0,
+            carried_rate_updated_at: 0,
+            list_requested: false,
+            timers_due: BTreeSet::new(),
+            total_pause: 0,
+            last_wake_at: 0,
         })
     }
 
-    /// Goes on with other settings of the same exchange, layout and classes; bad ones change nothing.
-    pub fn reconfigure(&mut self, set: Settings) {
-        if set.validate().is_ok() {
-            self.aim = set.longest_aim();
-            self.set = set;
+    /// Applies new settings of the same exchange, topology and classes. Invalid settings are ignored.
+    pub fn reconfigure(&mut self, settings: Settings) {
+        if settings.validate().is_ok() {
+            self.longest_target_secs = settings.longest_target_secs();
+            self.settings = settings;
         }
     }
 
-    /// Takes in one event and adds to `actions` what follows from it.
+    /// Processes one event and appends the resulting actions to `actions`.
     pub fn handle_event(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
-        let (from, due) = (actions.len(), self.due.first().map_or(now, |due| now.min(*due)));
-        // Timers come at their time: an overdue one tells that this agent itself has stood still since then.
-        if secs(now - due) > PAUSE {
-            self.paused += now - due;
-            self.woke = now;
+        let (first_new, due) =
+            (actions.len(), self.timers_due.first().map_or(now, |earliest| now.min(*earliest)));
+        // Timers expire on time, so an overdue one shows that this process was paused since then.
+        if nanos_to_secs(now - due) > PAUSE_DETECTION_SECS {
+            self.total_pause += now - due;
+            self.last_wake_at = now;
         }
-        self.due = self.due.split_off(&(now + 1));
+        self.timers_due = self.timers_due.split_off(&(now + 1));
         match event {
-            Event::ListUpdated(kind, entries) => self.list(now, kind, entries, actions),
-            Event::CallOffered(new) => self.arrive(now, new, actions),
-            Event::CallStands { call, attempt, .. } => self.stands(now, call, attempt),
+            Event::ListUpdated(kind, entries) => self.handle_list_update(now, kind, entries, actions),
+            Event::CallOffered(request) => self.handle_call_offered(now, request, actions),
+            Event::CallStands { call, attempt, .. } => self.handle_call_stands(now, call, attempt),
             Event::AttemptEnded { call, attempt, exchange, outcome, cause, call_over, report, .. } => {
-                self.report(exchange, &report);
-                self.ended(now, Ending { call, attempt, outcome, cause, call_over }, actions);
+                self.record_load_report(exchange, &report);
+                let end = AttemptEnd { call, attempt, outcome, cause, call_over };
+                self.handle_attempt_ended(now, end, actions);
             }
             Event::CallerHungUp(call) => {
-                self.calls.entry(call).and_modify(|c| c.over = true);
-                self.forget_if_over(call);
+                self.calls.entry(call).and_modify(|c| c.answered = true);
+                self.remove_if_finished(call);
             }
-            Event::TimerExpired(ASK_TOKEN) => self.ask(actions),
-            Event::TimerExpired(call) => self.look(now, call, actions),
-            Event::LoadReported { exchange, report, .. } => self.report(exchange, &report),
+            Event::TimerExpired(LIST_RETRY_TOKEN) => self.request_list(actions),
+            Event::TimerExpired(call) => self.advance_call(now, call, actions),
+            Event::LoadReported { exchange, report, .. } => self.record_load_report(exchange, &report),
         }
-        let timers = actions[from..].iter();
-        self.due
-            .extend(timers.filter_map(|a| if let Action::SetTimer(_, at) = a { Some(*at) } else { None }));
+        let new_actions = actions[first_new..].iter();
+        self.timers_due.extend(new_actions.filter_map(|a| {
+            if let Action::SetTimer(_, at) = a {
+                Some(*at)
+            } else {
+                None
+            }
+        }));
     }
 
-    /// The clock of the predictor, which leaves the own pauses out: they are no delay of a route.
-    fn awake(&self, now: Nanos) -> Nanos {
-        now - self.paused
+    /// Clock of the predictor. It excludes the pauses of this process, which are no delay of a route.
+    fn predictor_time(&self, now: Nanos) -> Nanos {
+        now - self.total_pause
     }
 
-    fn report(&mut self, exchange: ExchangeId, report: &LoadReport) {
-        let Some(number) = self.number(exchange) else { return };
-        let group = self.groups.entry(number).or_insert(UNKNOWN);
-        // What cannot be a number of circuits counts as not reported.
-        let told = |f: Option<f64>, known| f.filter(|f| f.is_finite() && *f >= 0.0).unwrap_or(known);
-        group.free = told(report.free_circuits, group.free);
-        group.size = told(report.group_size, group.size);
+    fn record_load_report(&mut self, exchange: ExchangeId, report: &LoadReport) {
+        let Some(number) = self.exchange_number(exchange) else { return };
+        let group = self.trunk_groups.entry(number).or_insert(UNREPORTED_GROUP);
+        // A value that cannot be a number of circuits counts as not reported.
+        let reported_or =
+            |value: Option<f64>, known| value.filter(|v| v.is_finite() && *v >= 0.0).unwrap_or(known);
+        group.free = reported_or(report.free_circuits, group.free);
+        group.size = reported_or(report.group_size, group.size);
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // Predictor, over all routes
-    // -----------------------------------------------------------------------------------------------------
-
-    /// The present load as this exchange sees it: how many times its least a busy route takes. The lower
-    /// third of the routes tells, not their sum. All pass the own processor: what all show is its doing,
-    /// while slow, silent or cut-off exchanges, even most of them, would close sound routes.
-    fn rho(&mut self, now: Nanos) -> f64 {
-        let (mut ratios, mut answered) = (Vec::new(), false);
-        // One pass over the routes that a call was sent on within the last aim, however many there are.
+    /// Present delay of active routes as a multiple of their minimum, at the lower third of the routes rather
+    /// than their sum. All set-ups pass the own processor, so a delay on all routes is its own. Slow, silent
+    /// or unreachable exchanges, even if they are the majority, must not close healthy routes.
+    fn current_delay_ratio(&mut self, now: Nanos) -> f64 {
+        let (mut ratios, mut any_answer) = (Vec::new(), false);
+        // A single pass over the routes used within the last target, however many routes there are.
         let routes = &self.routes;
-        self.busy.retain(|key| {
+        self.active_routes.retain(|key| {
             let Some(route) = routes.get(key) else { return false };
-            let last = route.valid_last(now, f64::INFINITY);
-            let timed = last.filter(|l| l.timed).map_or(0.0, |l| l.took);
-            answered |= last.is_some_and(|l| !l.failed);
-            if let Some(least) = route.least.filter(|l| *l > 0.0) {
-                // A set-up out for less than the least tells nothing yet.
-                let waits = route.waiting_since().map(|sent| secs(now - sent)).filter(|w| *w > least);
-                let time = timed.max(waits.map_or(0.0, |w| w + least));
-                ratios.extend(Some(time / least).filter(|r| *r > 0.0));
+            let last = route.valid_round_trip(now, f64::INFINITY);
+            let measured = last.filter(|l| l.measures_delay).map_or(0.0, |l| l.duration_secs);
+            any_answer |= last.is_some_and(|l| !l.failed);
+            if let Some(min_rtt) = route.min_rtt_secs.filter(|min| *min > 0.0) {
+                // A set-up pending for less than the minimum gives no information yet.
+                let waited = route.oldest_pending_sent_at().map(|sent| nanos_to_secs(now - sent));
+                let overdue = waited.filter(|waited| *waited > min_rtt);
+                let delay = measured.max(overdue.map_or(0.0, |waited| waited + min_rtt));
+                ratios.extend(Some(delay / min_rtt).filter(|r| *r > 0.0));
             }
-            last.is_some() || !route.out.is_empty()
+            last.is_some() || !route.pending.is_empty()
         });
         ratios.sort_unstable_by(f64::total_cmp);
-        let lowest = ratios.get(ratios.len().saturating_sub(1) / LOAD_QUANTILE);
-        // One silent route alone tells of itself.
-        lowest.filter(|_| answered || ratios.len() > 1).map_or(1.0, |r| r.max(1.0))
+        let quantile = ratios.get(ratios.len().saturating_sub(1) / DELAY_RATIO_QUANTILE);
+        // A single silent route is evidence on that route only.
+        quantile.filter(|_| any_answer || ratios.len() > 1).map_or(1.0, |r| r.max(1.0))
     }
 
-    /// A route that something happens on now.
-    fn route(&mut self, now: Nanos, key: RouteKey) -> &mut Route {
-        let kept = ROUTES_KEPT * self.exchanges.len().max(1);
-        if self.routes.len() >= kept && !self.routes.contains_key(&key) {
-            let mut used: Vec<Nanos> = self.routes.values().map(|r| r.used).collect();
-            let median = *used.select_nth_unstable(kept / 2).1;
-            self.routes.retain(|_, r| !r.out.is_empty() || r.used > median);
+    /// Gets or creates a route and marks it as used and active.
+    fn touch_route(&mut self, now: Nanos, key: RouteKey) -> &mut Route {
+        let capacity = MAX_ROUTES_PER_EXCHANGE * self.exchanges.len().max(1);
+        if self.routes.len() >= capacity && !self.routes.contains_key(&key) {
+            let mut last_used: Vec<Nanos> = self.routes.values().map(|r| r.last_used).collect();
+            let median = *last_used.select_nth_unstable(capacity / 2).1;
+            self.routes.retain(|_, r| !r.pending.is_empty() || r.last_used > median);
         }
-        self.busy.insert(key);
+        self.active_routes.insert(key);
         let route = self.routes.entry(key).or_default();
-        route.used = now;
+        route.last_used = now;
         route
     }
 
-    /// A first sign of progress: ends the round trip and alone lowers the least.
-    fn progressed(&mut self, now: Nanos, key: RouteKey, sent: Nanos, aim: f64) {
-        let took = secs(now - sent);
-        let route = self.route(now, key);
-        route.answered_sent = route.answered_sent.max(sent);
-        let least = route.least.map_or(took, |l| l.min(took));
-        route.least = Some(least);
-        route.last = Some(RoundTrip { took, at: now, timed: true, failed: false, valid: aim, holds: 0.0 });
-        route.failures = 0;
-        self.typical += PACE_GAIN * (least - self.typical);
-        if took < SILENT_AIMS * aim {
-            self.soon = now;
-        }
-    }
-
-    /// A failure on a route; `far` when not of the own processor's making. In a large fleet an agent has
-    /// a call for a destination once in many aims: were failures forgotten after one, each of its calls would
-    /// be sent unseen, and all agents together would jam a slow exchange. So a failure holds as long as the
-    /// next call for that destination is to be expected, twice as long when confirmed. It hurts calls to an
-    /// exchange that is mended in the meantime.
-    fn failed(&mut self, now: Nanos, key: RouteKey, sent: Nanos, aim: f64, timed: bool) {
-        // A silence while others answer soon is not this exchange's own doing.
-        let far = !timed || secs(now - self.soon) < aim;
-        let gap = self.destinations.get(&key.0).map_or(0.0, |d| d.gap);
-        let route = self.route(now, key);
-        let again = route.failures > 0 && sent >= route.last.map_or(0, |l| l.at);
-        route.failures = if again { 2 } else { route.failures.max(1) };
-        let holds = if far { (gap * f64::from(route.failures)).min(HOLD_AIMS * aim) } else { 0.0 };
-        let took = FAILED_AIMS * aim;
-        route.last = Some(RoundTrip { took, at: now, timed, failed: true, valid: aim, holds });
-    }
-
-    // -----------------------------------------------------------------------------------------------------
-    // Payoff
-    // -----------------------------------------------------------------------------------------------------
-
-    /// Set-ups of this exchange out, one more included. All pass its own processor, so many sent at once (a
-    /// mass reconnect) are slow before any of them has been answered. Those on a route that has stopped
+    /// Records the answer to a set-up. Nothing else lowers the minimum round trip.
+    fn record_answer(&mut self, now: Nanos, key: RouteKey, sent: Nanos, target_secs: f64) {
+        let duration_secs = nanos_to_secs(now - sent);
+        let route = self.touch_route(now, key);
+        route.newest_answered_sent_at = route.newest_answered_sent_at.max(sent);
+        let min_rtt = route.min_rtt_secs.map_or(duration_secs, |min| min.min(duration_secs));
+        route.min_rtt_secs = Some(min_rtt);
+        route.last_round_trip = Some(RoundTrip {
+            duration_secs,
+            ended_at: now,
+            measures_delay: true,
+            failed: false,
+            max_validity_secs: target_secs,
+            failure_hold_secs: 0.0,
+        });
+        route.consecutive_failures = 0;
+        self.typical_min_rtt_secs += ROUND_TRIP_SMOOTHING * (min_rtt - self.typical_min_rtt_secs);
+        if duration_secs < SILENCE_THRESHOLD_TARGETS * target_secs {
+            self.last_prompt_answer_at = now;
+        }
+    }
+
+    /// Records a rejected or unanswered set-up. In a large network a controller has a call for one
+    /// destination only once in many targets. If failures expired after one target, each of these calls would
+    /// be sent without any knowledge, and all controllers together would jam a slow exchange. A failure that
+    /// is not due to the own processor therefore stays in force until the next call for that destination is
+    /// expected, and twice as long once confirmed. The price: calls to an exchange that has recovered in the
+    /// meantime.
+    fn record_failure(
+        &mut self,
+        now: Nanos,
+        key: RouteKey,
+        sent: Nanos,
+        target_secs: f64,
+        measures_delay: bool,
+    ) {
+        // A silence while other routes answer promptly is not caused by the own processor.
+        let far_side = !measures_delay || nanos_to_secs(now - self.last_prompt_answer_at) < target_secs;
+        let interval_secs =
+            self.destinations.get(&key.destination).map_or(0.0, |d| d.mean_call_interval_secs);
+        let route = self.touch_route(now, key);
+        let confirmed =
+            route.consecutive_failures > 0 && sent >= route.last_round_trip.map_or(0, |l| l.ended_at);
+        route.consecutive_failures = if confirmed { 2 } else { route.consecutive_failures.max(1) };
+        let failure_hold_secs = if far_side {
+            (interval_secs * f64::from(route.consecutive_failures))
+                .min(MAX_FAILURE_HOLD_TARGETS * target_secs)
+        } else {
+            0.0
+        };
+        let duration_secs = FAILED_SET_UP_RTT_TARGETS * target_secs;
+        route.last_round_trip = Some(RoundTrip {
+            duration_secs,
+            ended_at: now,
+            measures_delay,
+            failed: true,
+            max_validity_secs: target_secs,
+            failure_hold_secs,
+        });
+    }
+
+    /// Pending set-ups of this exchange, plus the one being decided. All pass the own processor, so many sent
+    /// at once (a mass redial) are slow before any has been answered. Those on a route that has stopped
     /// answering wait elsewhere and do not count.
-    fn load(&mut self, now: Nanos) -> f64 {
-        while self.loud.first().is_some_and(|(sent, _)| self.silent(now, *sent)) {
-            self.loud.pop_first();
+    fn pending_set_ups(&mut self, now: Nanos) -> f64 {
+        while self.counted_set_ups.first().is_some_and(|oldest| self.is_silent(now, oldest.sent_at)) {
+            self.counted_set_ups.pop_first();
         }
-        1.0 + self.loud.len() as f64
+        1.0 + self.counted_set_ups.len() as f64
     }
 
-    fn silent(&self, now: Nanos, sent: Nanos) -> bool {
-        secs(now - sent) > SILENT_AIMS * self.aim
+    /// Whether a set-up has been pending for longer than the silence threshold.
+    fn is_silent(&self, now: Nanos, sent: Nanos) -> bool {
+        nanos_to_secs(now - sent) > SILENCE_THRESHOLD_TARGETS * self.longest_target_secs
     }
 
-    /// Predicted time of a call to `destination` by `exchange`. A tandem call is no faster than its parts.
-    fn predict(&self, now: Nanos, destination: u32, exchange: ExchangeId, load: Load) -> f64 {
-        let none = Route::default();
-        let at = |key: RouteKey| self.routes.get(&key).unwrap_or(&none).predict(now, load);
-        let own = at((destination, exchange)).max(load.out * self.pace);
-        let number = self.number(exchange).unwrap_or(destination);
+    /// Predicted duration of a set-up to `destination` by `exchange`. A tandem call is no faster than either
+    /// of its legs.
+    fn predict_secs(&self, now: Nanos, destination: u32, exchange: ExchangeId, load: LoadEstimate) -> f64 {
+        let unknown = Route::default();
+        let predict = |destination: u32, first_hop: ExchangeId| {
+            self.routes.get(&RouteKey { destination, first_hop }).unwrap_or(&unknown).predict_secs(now, load)
+        };
+        let whole_route =
+            predict(destination, exchange).max(load.pending_set_ups * self.secs_per_pending_set_up);
+        let number = self.exchange_number(exchange).unwrap_or(destination);
         if number == destination {
-            return own;
+            return whole_route;
         }
-        let second = self.machine(destination).map_or(0.0, |d| at((destination, d)));
-        own.max(at((number, exchange))).max(second)
+        let second_leg =
+            self.machine_in_service(destination).map_or(0.0, |machine| predict(destination, machine));
+        whole_route.max(predict(number, exchange)).max(second_leg)
     }
 
-    /// Expected payoff of trying, over that of refusing, for a set-up predicted to take `time` seconds.
-    /// `work` is its processor work in direct set-ups, `scarce` the summed scarcity of the groups it crosses,
-    /// `through` the chance that it is not turned back.
-    fn payoff(&self, now: Nanos, call: &Call, time: f64, work: f64, scarce: f64, through: f64) -> f64 {
-        let class = &self.set.classes[call.new.class];
-        let aim = secs(class.aim);
-        let spread = self.spread2.sqrt().max(SPREAD_FLOOR * aim);
-        let left = |until: Nanos| until as f64 * 1e-9 - now as f64 * 1e-9;
-        let in_time = normal((left(call.aim_at) - time) / spread);
-        let late = (normal((left(call.answer_by) - time) / spread) - in_time).max(0.0);
-        let fail = 1.0 - in_time - late;
-        let gain = class.worth * (in_time + class.late_worth * late);
-        let loss = class.worth * (FAIL_COST + self.set.late_fail_price) * fail;
-        // No class is priced off its direct route: what it displaces counts up to its own worth.
-        let displaced = (class.circuit_seconds() / self.mean_use * self.mean_worth).min(class.worth);
-        let worked = TIME_COST * work * time / aim * self.mean_worth;
-        through * (gain - loss - CIRCUIT_COST * scarce * displaced) - worked
+    /// Expected payoff of a set-up predicted to take `predicted_secs`, relative to refusing the call. `work`
+    /// is its processor work in direct set-ups, `scarcity` the summed scarcity of the trunk groups it
+    /// crosses, `acceptance` the probability that it is not turned back.
+    fn expected_payoff(
+        &self,
+        now: Nanos,
+        call: &Call,
+        predicted_secs: f64,
+        work: f64,
+        scarcity: f64,
+        acceptance: f64,
+    ) -> f64 {
+        let class = &self.settings.classes[call.request.class];
+        let target_secs = nanos_to_secs(class.delay_target);
+        let deviation = self.error_variance.sqrt().max(MIN_ERROR_DEVIATION_TARGETS * target_secs);
+        let secs_left = |until: Nanos| until as f64 * 1e-9 - now as f64 * 1e-9;
+        let on_time = normal_cdf((secs_left(call.on_time_until) - predicted_secs) / deviation);
+        let late = (normal_cdf((secs_left(call.answer_by) - predicted_secs) / deviation) - on_time).max(0.0);
+        let failed = 1.0 - on_time - late;
+        let gain = class.worth * (on_time + class.late_worth_share * late);
+        let loss = class.worth * (FAILURE_COST_SHARE + self.settings.late_failure_penalty) * failed;
+        // Capped at the call's own worth, so that circuit cost never prices a class off its direct route.
+        let displaced_worth =
+            (class.circuit_seconds() / self.mean_circuit_secs * self.mean_worth).min(class.worth);
+        let work_cost = SET_UP_TIME_COST_MEAN_WORTHS * work * predicted_secs / target_secs * self.mean_worth;
+        acceptance * (gain - loss - CIRCUIT_COST_SHARE * scarcity * displaced_worth) - work_cost
     }
 
-    /// How far a group is from having circuits to spare: 0 plenty, 1 none.
-    fn scarcity(&self, group: Group, width: u32) -> f64 {
-        (1.0 - (group.free - f64::from(width)) / (SCARCE_ROOTS * group.size.max(1.0).sqrt())).clamp(0.0, 1.0)
+    /// Scarcity of circuits in a group for a call of `width` circuits: 0 ample, 1 none to spare.
+    fn circuit_scarcity(&self, group: TrunkGroup, width: u32) -> f64 {
+        (1.0 - (group.free - f64::from(width)) / (AMPLE_CIRCUITS_SQRT_SIZES * group.size.max(1.0).sqrt()))
+            .clamp(0.0, 1.0)
     }
 
-    /// The own group towards an exchange.
-    fn group(&self, exchange: ExchangeId) -> Group {
-        self.number(exchange).and_then(|n| self.groups.get(&n)).copied().unwrap_or(UNKNOWN)
+    /// The own trunk group to an exchange.
+    fn trunk_group(&self, exchange: ExchangeId) -> TrunkGroup {
+        self.exchange_number(exchange)
+            .and_then(|n| self.trunk_groups.get(&n))
+            .copied()
+            .unwrap_or(UNREPORTED_GROUP)
     }
 
-    fn group_mut(&mut self, exchange: ExchangeId) -> &mut Group {
-        let number = self.number(exchange).unwrap_or(u32::MAX);
-        self.groups.entry(number).or_insert(UNKNOWN)
+    fn trunk_group_mut(&mut self, exchange: ExchangeId) -> &mut TrunkGroup {
+        let number = self.exchange_number(exchange).unwrap_or(u32::MAX);
+        self.trunk_groups.entry(number).or_insert(UNREPORTED_GROUP)
     }
 
-    fn number(&self, exchange: ExchangeId) -> Option<u32> {
+    fn exchange_number(&self, exchange: ExchangeId) -> Option<u32> {
         self.exchanges.get(&exchange).map(|x| x.number)
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // Routing
-    // -----------------------------------------------------------------------------------------------------
-
-    fn machine(&self, number: u32) -> Option<ExchangeId> {
-        self.serving.get(&number).copied()
+    fn machine_in_service(&self, number: u32) -> Option<ExchangeId> {
+        self.machines_in_service.get(&number).copied()
     }
 
-    /// Whether the group has room for a call, the last circuits kept from tandem calls that are not urgent.
-    fn room(&self, exchange: ExchangeId, call: &Call, tandem: bool) -> bool {
-        let (group, class) = (self.group(exchange), &self.set.classes[call.new.class]);
-        let urgent =
-            class.worth * self.mean_use >= URGENT_DENSITY * self.mean_worth * class.circuit_seconds();
-        let kept = if tandem && !urgent { RESERVE_ROOTS } else { 0.0 };
-        group.free >= f64::from(call.new.width) + (kept * group.size.sqrt()).ceil()
+    /// Whether the trunk group to an exchange has room for a call. The last circuits are reserved against
+    /// tandem calls that are not urgent.
+    fn has_room(&self, exchange: ExchangeId, call: &Call, tandem: bool) -> bool {
+        let (group, class) = (self.trunk_group(exchange), &self.settings.classes[call.request.class]);
+        let urgent = class.worth * self.mean_circuit_secs
+            >= URGENT_WORTH_DENSITY_RATIO * self.mean_worth * class.circuit_seconds();
+        let reserve = if tandem && !urgent { TANDEM_RESERVE_SQRT_SIZES } else { 0.0 };
+        group.free >= f64::from(call.request.width) + (reserve * group.size.sqrt()).ceil()
     }
 
-    /// Finds a way for a call that has no attempt out: where to send it, the time predicted there, and how
-    /// long it has to wait first.
-    fn way(&mut self, now: Nanos, call: &Call) -> Option<(ExchangeId, f64, Nanos)> {
-        let destination = call.new.destination;
-        let direct = self.machine(destination).filter(|_| Some(destination) != self.set.home_exchange);
-        let candidates = match self.set.topology {
-            Topology::Pools => self.pools(call),
+    /// Selects a route for a call without a pending attempt; `None` if no route has a positive payoff.
+    fn select_route(&mut self, now: Nanos, call: &Call) -> Option<RouteChoice> {
+        let destination = call.request.destination;
+        let direct =
+            self.machine_in_service(destination).filter(|_| Some(destination) != self.settings.home_exchange);
+        let candidates = match self.settings.topology {
+            Topology::Pools => self.candidate_pools(call),
             Topology::Mesh => vec![direct?],
         };
-        let at = self.awake(now);
-        let (rho, out) = (self.rho(at), self.load(at));
-        let load = Load { rho, out, typical: self.typical, aim: self.aim };
+        let predictor_now = self.predictor_time(now);
+        let (delay_ratio, pending_set_ups) =
+            (self.current_delay_ratio(predictor_now), self.pending_set_ups(predictor_now));
+        let load = LoadEstimate {
+            delay_ratio,
+            pending_set_ups,
+            typical_min_rtt_secs: self.typical_min_rtt_secs,
+            longest_target_secs: self.longest_target_secs,
+        };
         let mut blocked = false;
-        for x in candidates {
-            let time = self.predict(at, self.exchanges[&x].number, x, load);
-            let scarce = self.scarcity(self.group(x), call.new.width);
-            let wait = self.cold_wait(now, x);
-            if self.payoff(now + wait, call, time, 1.0, scarce, 1.0) <= 0.0 {
+        for exchange in candidates {
+            let predicted_secs =
+                self.predict_secs(predictor_now, self.exchanges[&exchange].number, exchange, load);
+            let scarcity = self.circuit_scarcity(self.trunk_group(exchange), call.request.width);
+            let wait = self.cold_start_wait(now, exchange);
+            if self.expected_payoff(now + wait, call, predicted_secs, 1.0, scarcity, 1.0) <= 0.0 {
                 continue;
             }
-            if self.room(x, call, call.new.in_transit) && !call.tried.contains(&x) {
-                return Some((x, time, wait));
+            if self.has_room(exchange, call, call.request.in_transit) && !call.tried.contains(&exchange) {
+                return Some(RouteChoice { exchange, predicted_secs, wait });
             }
             blocked = true;
         }
-        if !blocked || call.new.in_transit || self.set.topology == Topology::Pools {
-            return None; // transit goes on or turns back
+        if !blocked || call.request.in_transit || self.settings.topology == Topology::Pools {
+            return None; // a call in transit goes to its destination or is turned back
         }
-        self.tandem(now, call, load).map(|(x, time)| (x, time, 0))
+        self.select_tandem(now, call, load).map(|(exchange, predicted_secs)| RouteChoice {
+            exchange,
+            predicted_secs,
+            wait: 0,
+        })
     }
 
-    /// Pools that may serve the call: its first choice, the advised one, then the others.
-    fn pools(&self, call: &Call) -> Vec<ExchangeId> {
-        let skilled = &self.set.classes[call.new.class].pools;
-        let wishes = [Some(call.new.destination), call.new.advised_route].into_iter().flatten();
-        let mut found = Vec::new();
-        for n in wishes.chain(self.exchanges.values().map(|x| x.number)) {
-            let skill = skilled.is_empty() || skilled.contains(&n);
-            let fresh = self.machine(n).filter(|x| skill && !found.contains(x));
-            found.extend(fresh);
+    /// Pools that can serve the call: its first choice, the advised one, then all others.
+    fn candidate_pools(&self, call: &Call) -> Vec<ExchangeId> {
+        let serving_pools = &self.settings.classes[call.request.class].pools;
+        let preferred = [Some(call.request.destination), call.request.advised_route].into_iter().flatten();
+        let mut candidates = Vec::new();
+        for number in preferred.chain(self.exchanges.values().map(|x| x.number)) {
+            let can_serve = serving_pools.is_empty() || serving_pools.contains(&number);
+            let new = self.machine_in_service(number).filter(|x| can_serve && !candidates.contains(x));
+            candidates.extend(new);
         }
-        found
+        candidates
     }
 
-    fn tandem(&mut self, now: Nanos, call: &Call, load: Load) -> Option<(ExchangeId, f64)> {
-        let destination = call.new.destination;
-        // The tandem's second group is not seen from here: the own groups stand for it.
-        let groups = self.groups.values().filter(|g| g.size > 0.0);
-        let count = groups.clone().count().max(1) as f64;
-        let beyond = groups.map(|g| self.scarcity(*g, call.new.width)).sum::<f64>() / count;
-        let advised = call.new.advised_route.and_then(|n| self.machine(n));
-        let fits = |id: ExchangeId| {
-            let x = self.exchanges.get(&id)?;
-            let other = x.number != destination && Some(x.number) != self.set.home_exchange;
-            if !other || self.machine(x.number) != Some(id) || call.tried.contains(&id) {
+    /// Selects a tandem, with its predicted seconds: the advised one, the last good one, or a random one.
+    fn select_tandem(&mut self, now: Nanos, call: &Call, load: LoadEstimate) -> Option<(ExchangeId, f64)> {
+        let destination = call.request.destination;
+        // The tandem's group to the destination is unknown; the mean of the own groups stands in for it.
+        let groups = self.trunk_groups.values().filter(|g| g.size > 0.0);
+        let group_count = groups.clone().count().max(1) as f64;
+        let second_leg_scarcity =
+            groups.map(|g| self.circuit_scarcity(*g, call.request.width)).sum::<f64>() / group_count;
+        let advised = call.request.advised_route.and_then(|n| self.machine_in_service(n));
+        let suitable = |id: ExchangeId| {
+            let exchange = self.exchanges.get(&id)?;
+            let other =
+                exchange.number != destination && Some(exchange.number) != self.settings.home_exchange;
+            if !other || self.machine_in_service(exchange.number) != Some(id) || call.tried.contains(&id) {
                 return None;
             }
-            if !self.room(id, call, true) || self.cold_wait(now, id) > 0 {
+            if !self.has_room(id, call, true) || self.cold_start_wait(now, id) > 0 {
                 return None;
             }
-            let time = self.predict(self.awake(now), destination, id, load);
-            let scarce = self.scarcity(self.group(id), call.new.width) + beyond;
-            let through = self.through[usize::from(Some(id) == advised)];
-            Some((id, time)).filter(|_| self.payoff(now, call, time, 1.5, scarce, through) > 0.0)
+            let predicted_secs = self.predict_secs(self.predictor_time(now), destination, id, load);
+            let scarcity =
+                self.circuit_scarcity(self.trunk_group(id), call.request.width) + second_leg_scarcity;
+            let acceptance = self.tandem_acceptance[usize::from(Some(id) == advised)];
+            Some((id, predicted_secs))
+                .filter(|_| self.expected_payoff(now, call, predicted_secs, 1.5, scarcity, acceptance) > 0.0)
         };
-        let last = self.destinations.get(&destination).and_then(|d| d.tandem);
-        if let Some(wish) = [advised, last].into_iter().flatten().find_map(fits) {
-            return Some(wish);
+        let last_good = self.destinations.get(&destination).and_then(|d| d.last_good_tandem);
+        if let Some(preferred) = [advised, last_good].into_iter().flatten().find_map(suitable) {
+            return Some(preferred);
         }
-        let fit: Vec<_> = self.exchanges.keys().copied().filter_map(fits).collect();
-        if fit.is_empty() {
+        let candidates: Vec<_> = self.exchanges.keys().copied().filter_map(suitable).collect();
+        if candidates.is_empty() {
             return None;
         }
-        let i = self.rng.next_u64() % fit.len() as u64;
-        Some(fit[i as usize])
+        let index = self.rng.next_u64() % candidates.len() as u64;
+        Some(candidates[index as usize])
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // Guards
-    // -----------------------------------------------------------------------------------------------------
-
-    /// Rule 4: a cold exchange gets this agent's share of what it can surely take, at even gaps. A share may
-    /// be under one set-up a window: the gap is then longer than that. Tells the gap.
-    fn cold_gap(&self) -> Nanos {
-        // What a warm exchange surely bears follows from the most calls carried here. The present rate would
-        // not do: it is lowest just when exchanges have failed and come back cold.
-        let cold = &self.set.cold;
-        let least =
-            cold.multiple * cold.from * WARM_SET_UPS * self.peak / f64::from(self.set.controller_count);
-        nanos((1.0 / least).min(secs(cold.window) * f64::from(self.set.controller_count)))
+    /// Interval between set-ups to a cold exchange: this controller's share of the set-ups that the exchange
+    /// can certainly take, evenly spaced. With a share of less than one set-up per overload window, the
+    /// interval is longer than the window.
+    fn cold_send_interval(&self) -> Nanos {
+        // The capacity of a warm exchange is estimated from the peak rate carried here. The present rate is
+        // lowest just when exchanges have failed and come back cold.
+        let cold_start = &self.settings.cold_start;
+        let sends_per_sec = cold_start.overload_factor
+            * cold_start.initial_capacity_share
+            * WARM_SET_UPS_PER_CARRIED_CALL
+            * self.peak_carried_rate
+            / f64::from(self.settings.controller_count);
+        secs_to_nanos(
+            (1.0 / sends_per_sec)
+                .min(nanos_to_secs(cold_start.overload_window) * f64::from(self.settings.controller_count)),
+        )
     }
 
-    /// How long a set-up to an exchange has to wait for that.
-    fn cold_wait(&self, now: Nanos, exchange: ExchangeId) -> Nanos {
-        let cold = &self.set.cold;
-        let x = self.exchanges.get(&exchange).filter(|_| cold.window > 0);
-        let cold = x.filter(|x| x.since.is_some_and(|s| now < s + cold.lasts));
-        cold.map_or(0, |x| x.next.saturating_sub(now))
+    /// How long a set-up to an exchange has to wait for its turn in the cold-start budget.
+    fn cold_start_wait(&self, now: Nanos, exchange: ExchangeId) -> Nanos {
+        let rule = &self.settings.cold_start;
+        let exchange = self.exchanges.get(&exchange).filter(|_| rule.overload_window > 0);
+        let cold = exchange.filter(|x| x.since.is_some_and(|start| now < start + rule.max_duration));
+        cold.map_or(0, |x| x.next_cold_send.saturating_sub(now))
     }
 
-    fn crowded(&self, now: Nanos, number: Option<NumberId>) -> bool {
-        number.and_then(|n| self.numbers.get(&n)).is_some_and(|n| now < n.engaged_until)
+    fn is_number_busy(&self, now: Nanos, number: Option<NumberId>) -> bool {
+        number.and_then(|n| self.dialled_numbers.get(&n)).is_some_and(|n| now < n.busy_until)
     }
 
-    fn found_crowded(&mut self, now: Nanos, number: Option<NumberId>) {
-        if let Some(n) = number.and_then(|n| self.numbers.get_mut(&n)) {
-            n.engaged_until = now + nanos(n.gap);
-            n.gap = (2.0 * n.gap).min(CROWD_GAP.1);
+    fn back_off_busy_number(&mut self, now: Nanos, number: Option<NumberId>) {
+        if let Some(number) = number.and_then(|n| self.dialled_numbers.get_mut(&n)) {
+            number.busy_until = now + secs_to_nanos(number.next_backoff_secs);
+            number.next_backoff_secs = (2.0 * number.next_backoff_secs).min(BUSY_NUMBER_MAX_BACKOFF_SECS);
         }
     }
 
-    /// When the caller first tried: a number that was dialled and not reached before is dialled again.
-    /// Without this every redial has a new aim here, though the caller counts from the first try, and calls
-    /// that can only be late take the circuits of calls in time. Two callers of one number are taken for
-    /// one; the second then only seems later than it is.
-    fn first_try(&mut self, now: Nanos, new: &NewCall, persists: Nanos) -> Nanos {
-        let Some(number) = new.dialled.filter(|_| !new.after_cut && !new.in_transit) else { return now };
-        if self.numbers.len() >= NUMBERS_KEPT {
-            self.numbers.retain(|_, n| now < n.first + persists || now < n.engaged_until);
-            if self.numbers.len() >= NUMBERS_KEPT {
-                self.numbers.clear();
+    /// When the caller first tried: a number dialled before and not reached is taken for a redial. Otherwise
+    /// each redial would get a new delay target here although the caller counts from its first try, and
+    /// calls that can only be late would take the circuits of calls on time. Two callers of one number are
+    /// taken for one; the second call then merely seems later than it is.
+    fn first_try_at(&mut self, now: Nanos, request: &NewCall, redial_span: Nanos) -> Nanos {
+        let Some(number) = request.dialled.filter(|_| !request.after_cut && !request.in_transit) else {
+            return now;
+        };
+        if self.dialled_numbers.len() >= MAX_DIALLED_NUMBERS {
+            self.dialled_numbers.retain(|_, n| now < n.first_try_at + redial_span || now < n.busy_until);
+            if self.dialled_numbers.len() >= MAX_DIALLED_NUMBERS {
+                self.dialled_numbers.clear();
             }
         }
-        let fresh = Number { first: now, engaged_until: 0, gap: CROWD_GAP.0 };
-        let n = self.numbers.entry(number).or_insert(fresh);
-        if now >= n.first + persists {
-            n.first = now;
+        let new = DialledNumber {
+            first_try_at: now,
+            busy_until: 0,
+            next_backoff_secs: BUSY_NUMBER_FIRST_BACKOFF_SECS,
+        };
+        let number = self.dialled_numbers.entry(number).or_insert(new);
+        if now >= number.first_try_at + redial_span {
+            number.first_try_at = now;
         }
-        n.first
+        number.first_try_at
     }
 
-    fn list(&mut self, now: Nanos, kind: ListUpdate, entries: Vec<Entry>, actions: &mut Vec<Action>) {
+    fn handle_list_update(
+        &mut self,
+        now: Nanos,
+        kind: ListUpdate,
+        entries: Vec<Entry>,
+        actions: &mut Vec<Action>,
+    ) {
         if kind == ListUpdate::Unavailable {
-            return actions.push(Action::SetTimer(ASK_TOKEN, now + nanos(ASK_AGAIN)));
+            return actions.push(Action::SetTimer(LIST_RETRY_TOKEN, now + secs_to_nanos(LIST_RETRY_SECS)));
         }
         if kind != ListUpdate::Changes {
-            let named: BTreeSet<ExchangeId> = entries.iter().map(|e| e.exchange).collect();
-            self.exchanges.retain(|id, _| named.contains(id));
+            let listed: BTreeSet<ExchangeId> = entries.iter().map(|e| e.exchange).collect();
+            self.exchanges.retain(|id, _| listed.contains(id));
         }
-        let gap = self.cold_gap();
+        let interval = self.cold_send_interval();
         for Entry { exchange, number, since, standing, .. } in entries {
             let known = self.exchanges.get(&exchange).filter(|x| x.since == since);
-            // All agents learn of a start at once: each begins at a moment of its own within the gap.
-            let new = || (now + self.rng.next_u64() % gap.max(1), 0.0);
-            let (next, faults) = known.map_or_else(new, |x| (x.next, x.faults));
-            self.exchanges.insert(exchange, Exchange { number, since, standing, next, faults });
+            // All controllers learn of a start at once, so each draws its own first moment in the interval.
+            let initial = || (now + self.rng.next_u64() % interval.max(1), 0.0);
+            let (next_cold_send, fault_share) =
+                known.map_or_else(initial, |x| (x.next_cold_send, x.fault_share));
+            self.exchanges
+                .insert(exchange, Exchange { number, since, standing, next_cold_send, fault_share });
         }
         self.exchanges.retain(|_, x| x.standing != ExchangeState::Gone);
-        // On a long day machines and numbers come and go for good.
-        self.routes.retain(|key, r| self.exchanges.contains_key(&key.1) || !r.out.is_empty());
-        self.destinations.retain(|_, d| secs(now - d.asked.unwrap_or(now)) < PEAK_SPAN);
-        // Of several machines in service that bear a number, the one that started last.
-        self.serving.clear();
-        for (id, x) in self.exchanges.iter().filter(|(_, x)| x.standing == ExchangeState::Up) {
-            let serving = self.serving.entry(x.number).or_insert(*id);
-            if self.exchanges[serving].since <= x.since {
-                *serving = *id;
+        // Machines and numbers that are gone for good must not accumulate in a long run.
+        self.routes.retain(|key, r| self.exchanges.contains_key(&key.first_hop) || !r.pending.is_empty());
+        self.destinations
+            .retain(|_, d| nanos_to_secs(now - d.last_call_at.unwrap_or(now)) < PEAK_RATE_DECAY_SECS);
+        // Of several machines in service with the same number, the last started is used.
+        self.machines_in_service.clear();
+        for (id, exchange) in self.exchanges.iter().filter(|(_, x)| x.standing == ExchangeState::Up) {
+            let in_service = self.machines_in_service.entry(exchange.number).or_insert(*id);
+            if self.exchanges[in_service].since <= exchange.since {
+                *in_service = *id;
             }
         }
-        if !self.asked {
-            self.ask(actions);
+        if !self.list_requested {
+            self.request_list(actions);
         }
     }
 
-    fn ask(&mut self, actions: &mut Vec<Action>) {
-        if self.set.list_on_request {
-            self.asked = true;
+    fn request_list(&mut self, actions: &mut Vec<Action>) {
+        if self.settings.list_on_request {
+            self.list_requested = true;
             actions.push(Action::Subscribe);
         }
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // Call life cycle
-    // -----------------------------------------------------------------------------------------------------
-
-    fn arrive(&mut self, now: Nanos, new: NewCall, actions: &mut Vec<Action>) {
-        let id = new.call;
-        let Some(class) = self.set.classes.get(new.class) else {
+    fn handle_call_offered(&mut self, now: Nanos, request: NewCall, actions: &mut Vec<Action>) {
+        let id = request.call;
+        let Some(class) = self.settings.classes.get(request.class) else {
             return actions.push(Action::Fail(id));
         };
-        if !new.in_transit {
-            self.mean_worth += MEAN_GAIN * (class.worth - self.mean_worth);
-            self.mean_use += MEAN_GAIN * (class.circuit_seconds() - self.mean_use);
-        }
-        let started = *self.started.get_or_insert(now);
-        if self.serving.contains_key(&new.destination) {
-            let d = self.destinations.entry(new.destination).or_default();
-            let gap = secs(now - d.asked.unwrap_or(started));
-            d.gap += if d.asked.is_some() { GAP_GAIN * (gap - d.gap) } else { gap };
-            d.asked = Some(now);
-        }
-        let answer_by = new.deadline.saturating_sub(ANSWER_TICKS * self.set.tick).max(now);
-        let (aim, persists) = (class.aim, class.deadline);
-        let aim_at = (self.first_try(now, &new, persists) + aim).min(answer_by);
+        if !request.in_transit {
+            self.mean_worth += CALL_MEAN_SMOOTHING * (class.worth - self.mean_worth);
+            self.mean_circuit_secs +=
+                CALL_MEAN_SMOOTHING * (class.circuit_seconds() - self.mean_circuit_secs);
+        }
+        let first_call_at = *self.first_call_at.get_or_insert(now);
+        if self.machines_in_service.contains_key(&request.destination) {
+            let destination = self.destinations.entry(request.destination).or_default();
+            let interval_secs = nanos_to_secs(now - destination.last_call_at.unwrap_or(first_call_at));
+            destination.mean_call_interval_secs += if destination.last_call_at.is_some() {
+                CALL_INTERVAL_SMOOTHING * (interval_secs - destination.mean_call_interval_secs)
+            } else {
+                interval_secs
+            };
+            destination.last_call_at = Some(now);
+        }
+        let answer_by = request.deadline.saturating_sub(ANSWER_MARGIN_TICKS * self.settings.tick).max(now);
+        let (delay_target, redial_span) = (class.delay_target, class.deadline);
+        let on_time_until = (self.first_try_at(now, &request, redial_span) + delay_target).min(answer_by);
         let call = Call {
-            new,
-            aim_at,
+            request,
+            on_time_until,
             answer_by,
-            attempts: 0,
-            out: None,
+            attempt_count: 0,
+            pending_attempt: None,
             stands: false,
-            over: false,
+            answered: false,
             not_before: now,
             may_have_run: false,
             tried: Vec::new(),
         };
         actions.push(Action::SetTimer(id, answer_by));
         self.calls.insert(id, call);
-        if now == self.woke {
-            // Found with all that came during a pause, news behind it included: decided after these.
+        if now == self.last_wake_at {
+            // Part of the backlog of a pause, which may also hold list updates behind this call. Deciding by
+            // timer puts the call after all events of this moment.
             return actions.push(Action::SetTimer(id, now));
         }
-        self.look(now, id, actions);
+        self.advance_call(now, id, actions);
     }
 
-    /// Decides what is due for a call.
-    fn look(&mut self, now: Nanos, id: CallId, actions: &mut Vec<Action>) {
-        let Some(call) = self.calls.get(&id).filter(|c| !c.over && !c.stands) else { return };
+    /// Takes the next step of a call: sends it, waits, or gives the final answer.
+    fn advance_call(&mut self, now: Nanos, id: CallId, actions: &mut Vec<Action>) {
+        let Some(call) = self.calls.get(&id).filter(|c| !c.answered && !c.stands) else { return };
         if now >= call.answer_by {
-            if let (Some(out), true) = (call.out, self.set.may_cancel) {
-                actions.push(Action::CancelAttempt { call: id, attempt: out.number });
+            if let (Some(attempt), true) = (call.pending_attempt, self.settings.may_cancel) {
+                actions.push(Action::CancelAttempt { call: id, attempt: attempt.number });
             }
-            return self.answer(now, id, false, actions);
+            return self.give_final_answer(now, id, false, actions);
         }
-        if call.out.is_some() {
+        if call.pending_attempt.is_some() {
             return;
         }
         if now < call.not_before {
             return actions.push(Action::SetTimer(id, call.not_before));
         }
-        let sendable = call.attempts < self.set.max_attempts && !self.crowded(now, call.new.dialled);
+        let may_send = call.attempt_count < self.settings.max_attempts
+            && !self.is_number_busy(now, call.request.dialled);
         let call = call.clone();
-        match if sendable { self.way(now, &call) } else { None } {
-            Some((exchange, time, 0)) => self.send(now, id, exchange, time, actions),
-            Some((_, _, wait)) => actions.push(Action::SetTimer(id, now + wait)),
-            None => self.answer(now, id, true, actions),
+        match if may_send { self.select_route(now, &call) } else { None } {
+            Some(RouteChoice { exchange, predicted_secs, wait: 0 }) => {
+                self.send_set_up(now, id, exchange, predicted_secs, actions)
+            }
+            Some(RouteChoice { wait, .. }) => actions.push(Action::SetTimer(id, now + wait)),
+            None => self.give_final_answer(now, id, true, actions),
         }
     }
 
-    fn send(&mut self, now: Nanos, id: CallId, to: ExchangeId, time: f64, actions: &mut Vec<Action>) {
-        let number = self.number(to);
+    fn send_set_up(
+        &mut self,
+        now: Nanos,
+        id: CallId,
+        exchange: ExchangeId,
+        predicted_secs: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        let number = self.exchange_number(exchange);
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let advised = usize::from(call.new.advised_route.is_some() && call.new.advised_route == number);
+        let acceptance_index =
+            usize::from(call.request.advised_route.is_some() && call.request.advised_route == number);
         let timeout = call.answer_by - now;
-        let attempt = call.attempts;
-        call.attempts += 1;
-        call.tried.push(to);
-        let key = (call.new.destination, to);
-        self.group_mut(to).free -= f64::from(call.new.width);
-        let gap = self.cold_gap();
-        self.exchanges.entry(to).and_modify(|x| x.next = now + gap);
-        let at = self.awake(now);
-        let load = self.load(at);
-        let route = self.route(at, key);
-        let predicted = route.least.map(|_| time);
-        route.out.push((at, id));
-        self.loud.insert((at, id));
+        let attempt = call.attempt_count;
+        call.attempt_count += 1;
+        call.tried.push(exchange);
+        let key = RouteKey { destination: call.request.destination, first_hop: exchange };
+        self.trunk_group_mut(exchange).free -= f64::from(call.request.width);
+        let interval = self.cold_send_interval();
+        self.exchanges.entry(exchange).and_modify(|x| x.next_cold_send = now + interval);
+        let sent_at = self.predictor_time(now);
+        let pending_when_sent = self.pending_set_ups(sent_at);
+        let route = self.touch_route(sent_at, key);
+        let predicted_secs = route.min_rtt_secs.map(|_| predicted_secs);
+        route.pending.push(PendingSetUp { sent_at, call: id });
+        self.counted_set_ups.insert(PendingSetUp { sent_at, call: id });
         if let Some(call) = self.calls.get_mut(&id) {
-            call.out = Some(Attempt { number: attempt, exchange: to, sent: at, predicted, load, advised });
+            call.pending_attempt = Some(Attempt {
+                number: attempt,
+                exchange,
+                sent_at,
+                predicted_secs,
+                pending_when_sent,
+                acceptance_index,
+            });
         }
-        actions.push(Action::SendSetUp { call: id, exchange: to, timeout });
+        actions.push(Action::SendSetUp { call: id, exchange, timeout });
     }
 
-    fn forget_set_up(&mut self, key: RouteKey, id: CallId, sent: Nanos) {
-        self.loud.remove(&(sent, id));
+    fn remove_pending_set_up(&mut self, key: RouteKey, set_up: PendingSetUp) {
+        self.counted_set_ups.remove(&set_up);
         if let Some(route) = self.routes.get_mut(&key) {
-            route.out.retain(|s| *s != (sent, id));
+            route.pending.retain(|p| *p != set_up);
         }
     }
 
-    fn faulted(&mut self, exchange: ExchangeId, fault: f64) {
-        self.exchanges.entry(exchange).and_modify(|x| x.faults += SHARE_GAIN * (fault - x.faults));
+    /// Updates an exchange's share of unexplained failures: 1 for such a failure, 0 for a call that stands.
+    fn update_fault_share(&mut self, exchange: ExchangeId, fault: f64) {
+        self.exchanges
+            .entry(exchange)
+            .and_modify(|x| x.fault_share += SHARE_SMOOTHING * (fault - x.fault_share));
     }
 
-    /// Gives the final answer of a call.
-    fn answer(&mut self, now: Nanos, id: CallId, refuse: bool, actions: &mut Vec<Action>) {
+    /// Gives the final answer of a call. A refusal invites a retry, so a call that must not run twice and may
+    /// have run fails instead.
+    fn give_final_answer(&mut self, now: Nanos, id: CallId, refuse: bool, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        call.over = true;
-        let aims = PAUSE_AIMS[usize::from(now >= call.aim_at)];
-        let pause = nanos(aims * self.aim).min(self.set.max_retry_after.unwrap_or(0));
-        let safe = self.set.classes[call.new.class].repeatable || !(call.may_have_run || call.out.is_some());
-        actions.push(if refuse && safe {
-            Action::Refuse { call: id, retry_after: pause }
+        call.answered = true;
+        let still_on_time = now < call.on_time_until;
+        let targets = if still_on_time { RETRY_AFTER_ON_TIME_TARGETS } else { RETRY_AFTER_LATE_TARGETS };
+        let retry_after =
+            secs_to_nanos(targets * self.longest_target_secs).min(self.settings.max_retry_after.unwrap_or(0));
+        let safe_to_retry = self.settings.classes[call.request.class].idempotent
+            || !(call.may_have_run || call.pending_attempt.is_some());
+        actions.push(if refuse && safe_to_retry {
+            Action::Refuse { call: id, retry_after }
         } else {
             Action::Fail(id)
         });
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    fn forget_if_over(&mut self, id: CallId) {
-        if self.calls.get(&id).is_some_and(|c| c.over && c.out.is_none()) {
+    fn remove_if_finished(&mut self, id: CallId) {
+        if self.calls.get(&id).is_some_and(|c| c.answered && c.pending_attempt.is_none()) {
             self.calls.remove(&id);
         }
     }
 
-    fn stands(&mut self, now: Nanos, id: CallId, attempt: u32) {
+    fn handle_call_stands(&mut self, now: Nanos, id: CallId, attempt: u32) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = call.out.filter(|o| o.number == attempt) else { return };
+        let Some(attempt) = call.pending_attempt.filter(|a| a.number == attempt) else { return };
         call.stands = true;
-        call.over = true;
-        let class = &self.set.classes[call.new.class];
-        let (destination, dialled, aim) = (call.new.destination, call.new.dialled, secs(class.aim));
-        // A set-up that was repeated on the way carries the gaps of the repeats: it counts for its own route
-        // but tells neither the load nor the spread (compare Karn's rule).
-        self.forget_set_up((destination, out.exchange), id, out.sent);
-        let at = self.awake(now);
-        let took = at - out.sent;
-        let clean = self.set.resend == 0 || took < self.set.resend;
-        self.progressed(at, (destination, out.exchange), out.sent, aim);
-        self.faulted(out.exchange, 0.0);
-        if let (Some(predicted), true) = (out.predicted, clean) {
-            let error = secs(took) - predicted;
-            self.pace += PACE_GAIN * (secs(took) / out.load - self.pace);
-            self.spread2 += SPREAD_GAIN * (error * error - self.spread2);
-        }
-        if let Some(n) = dialled.filter(|n| self.numbers.get(n).is_some_and(|n| n.engaged_until == 0)) {
-            self.numbers.remove(&n);
-        }
-        let since = secs(now - self.rate_at);
-        self.rate = self.rate * libm::exp(-since / RATE_SPAN) + 1.0 / RATE_SPAN;
-        // A rate that has not been measured for the whole span yet is that much too low.
-        let measured = secs(now - self.started.unwrap_or(now));
-        let rate = self.rate / (1.0 - libm::exp(-measured / RATE_SPAN)).max(RATE_START);
-        self.peak = rate.max(self.peak * libm::exp(-since / PEAK_SPAN));
-        self.rate_at = now;
-        if self.number(out.exchange).is_some_and(|n| n != destination) {
-            self.destinations.entry(destination).or_default().tandem = Some(out.exchange);
-            self.through[out.advised] += SHARE_GAIN * (1.0 - self.through[out.advised]);
-        }
-    }
-
-    fn ended(&mut self, now: Nanos, ending: Ending, actions: &mut Vec<Action>) {
-        let Ending { call: id, attempt, outcome, cause, call_over } = ending;
+        call.answered = true;
+        let class = &self.settings.classes[call.request.class];
+        let (destination, dialled, target_secs) =
+            (call.request.destination, call.request.dialled, nanos_to_secs(class.delay_target));
+        let key = RouteKey { destination, first_hop: attempt.exchange };
+        self.remove_pending_set_up(key, PendingSetUp { sent_at: attempt.sent_at, call: id });
+        let answered_at = self.predictor_time(now);
+        let elapsed = answered_at - attempt.sent_at;
+        // The duration of a retransmitted set-up includes the retransmission intervals: it counts for its own
+        // route, but not for the load or the prediction error (compare Karn's algorithm).
+        let not_retransmitted =
+            self.settings.retransmit_interval == 0 || elapsed < self.settings.retransmit_interval;
+        self.record_answer(answered_at, key, attempt.sent_at, target_secs);
+        self.update_fault_share(attempt.exchange, 0.0);
+        if let (Some(predicted_secs), true) = (attempt.predicted_secs, not_retransmitted) {
+            let error_secs = nanos_to_secs(elapsed) - predicted_secs;
+            self.secs_per_pending_set_up += ROUND_TRIP_SMOOTHING
+                * (nanos_to_secs(elapsed) / attempt.pending_when_sent - self.secs_per_pending_set_up);
+            self.error_variance += ERROR_VARIANCE_SMOOTHING * (error_secs * error_secs - self.error_variance);
+        }
+        if let Some(n) = dialled.filter(|n| self.dialled_numbers.get(n).is_some_and(|n| n.busy_until == 0)) {
+            self.dialled_numbers.remove(&n);
+        }
+        let since_update = nanos_to_secs(now - self.carried_rate_updated_at);
+        self.carried_rate = self.carried_rate * libm::exp(-since_update / CARRIED_RATE_SPAN_SECS)
+            + 1.0 / CARRIED_RATE_SPAN_SECS;
+        // Corrects the bias of a rate that has been measured for less than the averaging span.
+        let measured_secs = nanos_to_secs(now - self.first_call_at.unwrap_or(now));
+        let corrected_rate = self.carried_rate
+            / (1.0 - libm::exp(-measured_secs / CARRIED_RATE_SPAN_SECS)).max(MIN_MEASURED_SPAN_SHARE);
+        self.peak_carried_rate =
+            corrected_rate.max(self.peak_carried_rate * libm::exp(-since_update / PEAK_RATE_DECAY_SECS));
+        self.carried_rate_updated_at = now;
+        if self.exchange_number(attempt.exchange).is_some_and(|n| n != destination) {
+            self.destinations.entry(destination).or_default().last_good_tandem = Some(attempt.exchange);
+            self.tandem_acceptance[attempt.acceptance_index] +=
+                SHARE_SMOOTHING * (1.0 - self.tandem_acceptance[attempt.acceptance_index]);
+        }
+    }
+
+    fn handle_attempt_ended(&mut self, now: Nanos, end: AttemptEnd, actions: &mut Vec<Action>) {
+        let AttemptEnd { call: id, attempt, outcome, cause, call_over } = end;
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = call.out.filter(|o| o.number == attempt) else { return };
-        call.out = None;
-        call.over |= call_over;
-        let (destination, dialled, stood) = (call.new.destination, call.new.dialled, call.stands);
-        let (aim, width) = (secs(self.set.classes[call.new.class].aim), f64::from(call.new.width));
+        let Some(attempt) = call.pending_attempt.filter(|a| a.number == attempt) else { return };
+        call.pending_attempt = None;
+        call.answered |= call_over;
+        let (destination, dialled, stood) = (call.request.destination, call.request.dialled, call.stands);
+        let (target_secs, width) = (
+            nanos_to_secs(self.settings.classes[call.request.class].delay_target),
+            f64::from(call.request.width),
+        );
         let never_ran = matches!(outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent);
         call.may_have_run |= !never_ran;
         if matches!(outcome, Outcome::TimedOut | Outcome::Cut | Outcome::CalledOff) {
-            call.not_before = now + self.set.release_wait;
+            call.not_before = now + self.settings.release_wait;
         }
-        let key = (destination, out.exchange);
-        self.forget_set_up(key, id, out.sent);
+        let key = RouteKey { destination, first_hop: attempt.exchange };
+        self.remove_pending_set_up(key, PendingSetUp { sent_at: attempt.sent_at, call: id });
         if !stood {
-            let silent = matches!(outcome, Outcome::TimedOut | Outcome::CalledOff);
+            let unanswered = matches!(outcome, Outcome::TimedOut | Outcome::CalledOff);
             let rejected = matches!(outcome, Outcome::Rejected | Outcome::Unreachable);
-            // A silence cut short tells nothing.
-            let at = self.awake(now);
-            if rejected || silent && self.silent(at, out.sent) {
-                self.failed(at, key, out.sent, aim, silent);
-                if let Some(d) = self.machine(destination).filter(|_| cause == Cause::FullBeyond) {
-                    self.failed(at, (destination, d), out.sent, aim, false);
+            let ended_at = self.predictor_time(now);
+            // An unanswered set-up that ended before the silence threshold is no evidence.
+            if rejected || unanswered && self.is_silent(ended_at, attempt.sent_at) {
+                self.record_failure(ended_at, key, attempt.sent_at, target_secs, unanswered);
+                let full_machine =
+                    self.machine_in_service(destination).filter(|_| cause == Cause::FullBeyond);
+                if let Some(machine) = full_machine {
+                    let direct_route = RouteKey { destination, first_hop: machine };
+                    self.record_failure(ended_at, direct_route, attempt.sent_at, target_secs, false);
                 }
             }
             match (outcome, cause) {
-                (Outcome::Failed, Cause::NumberBusy) => self.found_crowded(now, dialled),
-                (Outcome::Failed, Cause::Untold) => self.faulted(out.exchange, 1.0),
-                // Less than the call's width is free, whatever was believed, until told otherwise.
-                (Outcome::NotSent, Cause::NoCircuit) => self.group_mut(out.exchange).free = width - 1.0,
+                (Outcome::Failed, Cause::NumberBusy) => self.back_off_busy_number(now, dialled),
+                (Outcome::Failed, Cause::Untold) => self.update_fault_share(attempt.exchange, 1.0),
+                // Until the next report, fewer circuits than this call needs are assumed to be free.
+                (Outcome::NotSent, Cause::NoCircuit) => {
+                    self.trunk_group_mut(attempt.exchange).free = width - 1.0
+                }
                 _ => {}
             }
-            if self.number(out.exchange).is_some_and(|n| n != destination) {
-                self.destinations.entry(destination).or_default().tandem = None;
-                self.through[out.advised] -=
-                    if rejected { SHARE_GAIN * self.through[out.advised] } else { 0.0 };
+            if self.exchange_number(attempt.exchange).is_some_and(|n| n != destination) {
+                self.destinations.entry(destination).or_default().last_good_tandem = None;
+                self.tandem_acceptance[attempt.acceptance_index] -= if rejected {
+                    SHARE_SMOOTHING * self.tandem_acceptance[attempt.acceptance_index]
+                } else {
+                    0.0
+                };
             }
         }
-        let fault = (outcome, cause) == (Outcome::Failed, Cause::Untold);
-        let fault = fault && self.exchanges.get(&out.exchange).is_some_and(|x| x.faults > FAULTY);
+        let unexplained = (outcome, cause) == (Outcome::Failed, Cause::Untold);
+        let exchange_fault = unexplained
+            && self.exchanges.get(&attempt.exchange).is_some_and(|x| x.fault_share > FAULTY_EXCHANGE_SHARE);
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if call.over {
-            return self.forget_if_over(id);
+        if call.answered {
+            return self.remove_if_finished(id);
         }
-        // A fault or a connection that broke is no reason to leave the route.
-        call.tried.retain(|x| *x != out.exchange || !fault && outcome != Outcome::Cut);
-        if call.may_have_run && !self.set.classes[call.new.class].repeatable {
-            return self.answer(now, id, false, actions);
+        // An exchange fault or a broken connection does not rule out the same route for the retry.
+        call.tried.retain(|x| *x != attempt.exchange || !exchange_fault && outcome != Outcome::Cut);
+        if call.may_have_run && !self.settings.classes[call.request.class].idempotent {
+            return self.give_final_answer(now, id, false, actions);
         }
-        let own_down = outcome == Outcome::NotSent && matches!(cause, Cause::ProcessorFull(_));
-        if stood || own_down || outcome == Outcome::Failed && !fault {
-            return self.answer(now, id, true, actions);
+        let own_processor_down = outcome == Outcome::NotSent && matches!(cause, Cause::ProcessorFull(_));
+        if stood || own_processor_down || outcome == Outcome::Failed && !exchange_fault {
+            return self.give_final_answer(now, id, true, actions);
         }
-        self.look(now, id, actions);
+        self.advance_call(now, id, actions);
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,350 +1,354 @@
-//! The types between the decision module ([`crate::controller`]) and whatever embeds it.
+//! Input and output types of the decision module ([`crate::controller`]).
 //!
-//! Times are nanoseconds on one clock that only advances. Exchanges and calls are known by numbers that the
-//! embedder gives out; the module reads nothing into them beyond equality and order.
+//! Times are nanoseconds of one monotonic clock. The host program that embeds the module assigns the ids of
+//! exchanges, calls and dialled numbers; the module only compares them.
 
 use std::fmt;
 
-/// A moment or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
-/// The embedder's handle for one exchange's machine (a machine that replaces it has another).
+/// Id of the machine of an exchange. A replacement machine has another id.
 pub type ExchangeId = u32;
-/// The embedder's handle for one call at this exchange.
+/// Id of a call at this exchange.
 pub type CallId = u64;
-/// The embedder's handle for a dialled number.
+/// Id of a dialled number.
 pub type NumberId = u64;
 
-/// A span in seconds.
-pub fn secs(t: Nanos) -> f64 {
-    t as f64 * 1e-9
+/// Converts nanoseconds to seconds.
+pub fn nanos_to_secs(nanos: Nanos) -> f64 {
+    nanos as f64 * 1e-9
 }
 
-/// A span of so many seconds.
-pub fn nanos(s: f64) -> Nanos {
-    (s * 1e9) as Nanos
+/// Converts seconds to nanoseconds.
+pub fn secs_to_nanos(secs: f64) -> Nanos {
+    (secs * 1e9) as Nanos
 }
 
-/// How the network is laid out.
+/// Topology of the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topology {
-    /// Exchanges joined in pairs by trunk groups; calls may pass through one tandem.
+    /// Trunk groups between pairs of exchanges; a call may pass through one tandem.
     Mesh,
-    /// Pools of agents shared by all call agents; no call is in transit.
+    /// Pools of agents, shared by all controllers; no call is in transit.
     Pools,
 }
 
-/// How far processors' load becomes known.
+/// When exchanges report the load of their processors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
-    /// With every answer and probe.
-    Answers,
-    /// With probes only.
-    Probes,
-    /// Not at all.
-    None,
+pub enum LoadReporting {
+    /// With every answer and every probe result.
+    AnswersAndProbes,
+    /// With probe results only.
+    ProbesOnly,
+    /// Never.
+    Never,
 }
 
-/// One class of call.
+/// A class of calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// A call that stands within this time of its first try earns its full worth.
-    pub aim: Nanos,
-    /// How long a caller persists, from the first try.
+    /// A call that stands within this time of the caller's first try is on time and earns its full worth.
+    pub delay_target: Nanos,
+    /// How long a caller keeps trying, from its first try.
     pub deadline: Nanos,
-    /// Worth of a call that stands in time and holds to its end.
+    /// Worth of a call that stands on time and is not cut.
     pub worth: f64,
-    /// Share of the worth earned by standing after the aim.
-    pub late_worth: f64,
+    /// Share of the worth that a late call earns.
+    pub late_worth_share: f64,
     /// Circuits that a call seizes on each trunk group.
     pub width: u32,
     /// Mean duration of a call.
-    pub hold: Nanos,
-    /// In pools: the pools that can serve this class (empty: all).
+    pub mean_duration: Nanos,
+    /// With pools: the pools that can serve this class (empty: all).
     pub pools: Vec<u32>,
     /// Whether an attempt that may have run can be repeated without harm.
-    pub repeatable: bool,
+    pub idempotent: bool,
 }
 
 impl Class {
-    /// Circuit-seconds that a call takes of each group.
+    /// Circuit-seconds that a call takes on each trunk group.
     pub fn circuit_seconds(&self) -> f64 {
-        f64::from(self.width) * secs(self.hold).max(1e-3)
+        f64::from(self.width) * nanos_to_secs(self.mean_duration).max(1e-3)
     }
 }
 
-/// The figures of the rule on cold exchanges.
+/// Parameters of the cold-start budget. An exchange that has just started fails when it is sent more than
+/// `overload_factor` times its present capacity for `overload_window`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdRule {
-    /// An exchange starts at this share of its capacity or above.
-    pub from: f64,
-    /// It is warm after this time at most.
-    pub lasts: Nanos,
-    /// Sent more than this multiple of its present capacity ...
-    pub multiple: f64,
-    /// ... for this time, it falls over.
-    pub window: Nanos,
+pub struct ColdStartRule {
+    /// Least share of its full capacity that an exchange has when it starts.
+    pub initial_capacity_share: f64,
+    /// Time after which an exchange is warm at the latest.
+    pub max_duration: Nanos,
+    /// Load that makes a cold exchange fail, as a multiple of its present capacity.
+    pub overload_factor: f64,
+    /// How long that load has to last.
+    pub overload_window: Nanos,
 }
 
-/// What one instance is told at its start.
+/// Settings of one controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many call agents there are.
+    /// Number of controllers in the network.
     pub controller_count: u32,
-    /// Number of this agent among them, from 0.
+    /// Index of this controller, from 0.
     pub controller_index: u32,
-    /// Number of the own exchange, where there is one.
+    /// Number of the own exchange, if there is one.
     pub home_exchange: Option<u32>,
-    /// Layout of the network.
+    /// Topology of the network.
     pub topology: Topology,
     /// Index of the own zone.
     pub zone: u32,
-    /// The classes of call.
+    /// The call classes.
     pub classes: Vec<Class>,
-    /// How load reports come.
-    pub reports: Reports,
-    /// Attempts allowed for one call.
+    /// When exchanges report their load.
+    pub load_reporting: LoadReporting,
+    /// Maximum number of attempts per call.
     pub max_attempts: u32,
     /// Whether exchanges may be probed.
     pub may_probe: bool,
-    /// Whether an attempt may be called off.
+    /// Whether an attempt may be cancelled.
     pub may_cancel: bool,
-    /// The longest pause that a caller can be asked to keep after a refusal, if any.
+    /// Upper limit of the retry-after time in a refusal; `None`: callers cannot be given one.
     pub max_retry_after: Option<Nanos>,
-    /// Whether the list of exchanges comes only when asked for.
+    /// Whether the list of exchanges is sent on request only.
     pub list_on_request: bool,
-    /// An agent that has not asked for this long counts as told of the list as it stood that long ago.
-    pub ask_within: Nanos,
-    /// After an attempt timed out, was cut or called off, what it held may stay taken for this long.
+    /// A controller that has not requested the list for this long is taken to know the list of that time.
+    pub max_list_age: Nanos,
+    /// For this long after an attempt timed out, was cut or was cancelled, its resources may still be in use.
     pub release_wait: Nanos,
-    /// A waiting set-up is repeated after this time and then at doubling gaps (0: never).
-    pub resend: Nanos,
-    /// New work to a draining or gone exchange must stop within this time of the news.
+    /// An unanswered set-up is retransmitted after this time and then at doubling intervals (0: never).
+    pub retransmit_interval: Nanos,
+    /// No set-up may be sent to an exchange later than this after a list update has it as draining or gone.
     pub drain_grace: Nanos,
-    /// How long after the caller's deadline a final answer still counts.
+    /// How long after the caller's deadline a final answer is still valid.
     pub answer_slack: Nanos,
-    /// The rule on cold exchanges.
-    pub cold: ColdRule,
-    /// Events arrive no more often than this.
+    /// The cold-start budget.
+    pub cold_start: ColdStartRule,
+    /// Minimum interval between deliveries of events.
     pub tick: Nanos,
-    /// Points lost for worth that fails after its aim, as a share of that worth.
-    pub late_fail_price: f64,
-    /// Points lost for each probe, per call.
-    pub probe_price: f64,
+    /// Penalty for a call that fails after its delay target, as a share of its worth.
+    pub late_failure_penalty: f64,
+    /// Penalty for each probe, per call.
+    pub probe_penalty: f64,
 }
 
 impl Settings {
-    /// The longest aim of the classes, in seconds.
-    pub fn longest_aim(&self) -> f64 {
-        self.classes.iter().map(|c| secs(c.aim)).fold(0.0, f64::max)
+    /// The longest delay target of the classes, in seconds.
+    pub fn longest_target_secs(&self) -> f64 {
+        self.classes.iter().map(|c| nanos_to_secs(c.delay_target)).fold(0.0, f64::max)
     }
 
-    /// Whether the settings make sense.
+    /// Checks the settings for consistency.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        for (i, c) in self.classes.iter().enumerate() {
-            if c.aim == 0 {
-                return Err(SettingsError::ZeroAim(i));
+        for (index, class) in self.classes.iter().enumerate() {
+            if class.delay_target == 0 {
+                return Err(SettingsError::ZeroDelayTarget(index));
             }
-            if c.width == 0 {
-                return Err(SettingsError::ZeroWidth(i));
+            if class.width == 0 {
+                return Err(SettingsError::ZeroWidth(index));
             }
-            if !c.worth.is_finite() || c.worth < 0.0 {
-                return Err(SettingsError::BadWorth(i));
+            if !class.worth.is_finite() || class.worth < 0.0 {
+                return Err(SettingsError::InvalidWorth(index));
             }
         }
         if self.controller_index >= self.controller_count {
-            return Err(SettingsError::OwnNumber {
-                own: self.controller_index,
-                agents: self.controller_count,
+            return Err(SettingsError::ControllerIndexOutOfRange {
+                index: self.controller_index,
+                count: self.controller_count,
             });
         }
         if self.topology == Topology::Mesh && self.home_exchange.is_none() {
-            return Err(SettingsError::NoHome);
+            return Err(SettingsError::NoHomeExchange);
         }
         if self.max_attempts == 0 {
-            return Err(SettingsError::NoAttempts);
+            return Err(SettingsError::NoAttemptsAllowed);
         }
         Ok(())
     }
 }
 
-/// Settings that make no sense.
+/// Why settings are invalid. Class errors carry the index of the class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There is no class of call.
+    /// There are no call classes.
     NoClasses,
-    /// The class of this index has no aim.
-    ZeroAim(usize),
-    /// The class of this index has a width of zero.
+    /// The delay target of a class is zero.
+    ZeroDelayTarget(usize),
+    /// The width of a class is zero.
     ZeroWidth(usize),
-    /// The class of this index has a worth that is negative or no number.
-    BadWorth(usize),
-    /// The own number is not below the number of agents.
-    OwnNumber {
-        /// The own number.
-        own: u32,
-        /// The number of agents.
-        agents: u32,
+    /// The worth of a class is negative or not finite.
+    InvalidWorth(usize),
+    /// The controller index is not below the number of controllers.
+    ControllerIndexOutOfRange {
+        /// Index of the controller.
+        index: u32,
+        /// Number of controllers.
+        count: u32,
     },
-    /// A mesh needs an own exchange.
-    NoHome,
-    /// No attempt is allowed.
-    NoAttempts,
+    /// A mesh without an own exchange.
+    NoHomeExchange,
+    /// The maximum number of attempts is zero.
+    NoAttemptsAllowed,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoClasses => write!(f, "no class of call"),
-            Self::ZeroAim(i) => write!(f, "class {i}: the aim is zero"),
-            Self::ZeroWidth(i) => write!(f, "class {i}: the width is zero"),
-            Self::BadWorth(i) => write!(f, "class {i}: the worth is negative or no number"),
-            Self::OwnNumber { own, agents } => write!(f, "own number {own} is not below {agents} agents"),
-            Self::NoHome => write!(f, "a mesh needs an own exchange"),
-            Self::NoAttempts => write!(f, "no attempt is allowed"),
+            Self::NoClasses => write!(f, "no call classes (grades)"),
+            Self::ZeroDelayTarget(class) => write!(f, "class {class}: the aim is zero"),
+            Self::ZeroWidth(class) => write!(f, "class {class}: the width is zero"),
+            Self::InvalidWorth(class) => write!(f, "class {class}: the worth is negative or not finite"),
+            Self::ControllerIndexOutOfRange { index, count } => {
+                write!(f, "controller index {index} (my-number) is not below {count} (instances)")
+            }
+            Self::NoHomeExchange => write!(f, "a mesh needs the number of the own exchange (home-no)"),
+            Self::NoAttemptsAllowed => write!(f, "the maximum number of attempts (attempts-cap) is zero"),
         }
     }
 }
 
 impl std::error::Error for SettingsError {}
 
-/// What discovery says of an exchange.
+/// State of an exchange in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeState {
     /// In service.
     Up,
-    /// Finishing what it has; nothing new may be sent.
+    /// Completes its present calls; no new set-up may be sent to it.
     Draining,
-    /// Withdrawn.
+    /// Removed from service.
     Gone,
 }
 
-/// One line of the list of exchanges.
+/// An entry of the list of exchanges.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// The machine.
     pub exchange: ExchangeId,
-    /// The exchange's (or pool's) number: what calls are routed by.
+    /// Number of the exchange or pool, by which calls are routed.
     pub number: u32,
     /// Index of its zone.
     pub zone: u32,
-    /// When it last started; `None` means long ago.
+    /// When it last started; `None`: long ago.
     pub since: Option<Nanos>,
     /// Its state.
     pub standing: ExchangeState,
 }
 
-/// What a list event is.
+/// Kind of a list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Changes,
-    /// The whole list; who is not on it is gone.
+    /// The whole list; exchanges that are not on it are gone.
     Whole,
-    /// The whole list as it was last held, perhaps out of date.
+    /// The whole list as last known, possibly out of date.
     Restored,
-    /// Asking failed; the list in hand stays in force.
+    /// The request failed; the present list stays in force.
     Unavailable,
 }
 
-/// A report on the trunk group towards an exchange (or a pool) and on its processor. Anything may be missing.
+/// Report on the trunk group to an exchange (or on a pool) and on its processor. Each value may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Free circuits of the group (free agents of a pool).
+    /// Free circuits of the group, or free agents of the pool.
     pub free_circuits: Option<f64>,
-    /// Size of the group.
+    /// Size of the group or pool.
     pub group_size: Option<f64>,
-    /// Share of the processor that is busy.
-    pub busy: Option<f64>,
-    /// Messages waiting at the processor.
-    pub queue: Option<f64>,
-    /// The wait at the processor, in milliseconds.
-    pub wait_ms: Option<f64>,
-    /// Messages being worked on.
-    pub working: Option<f64>,
-    /// New set-ups a second that it can take from all senders.
-    pub allowed: Option<f64>,
-    /// Share of new set-ups that it asks each sender to hold back.
-    pub hold_back: Option<f64>,
+    /// Utilization of the processor, from 0 to 1.
+    pub processor_load: Option<f64>,
+    /// Messages in the processor's queue.
+    pub queue_length: Option<f64>,
+    /// Waiting time in that queue.
+    pub queue_wait_ms: Option<f64>,
+    /// Messages being processed.
+    pub messages_in_progress: Option<f64>,
+    /// New set-ups per second that it can take from all senders together.
+    pub allowed_set_ups_per_sec: Option<f64>,
+    /// Share of new set-ups that each sender is asked to hold back.
+    pub throttled_share: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The call stood and came to its natural end.
+    /// The call stood and ended normally.
     Completed,
-    /// All lines of the number engaged, or a signalling fault.
+    /// All lines of the number were engaged, or signalling failed.
     Failed,
-    /// Not set up: turned back, or a processor or pool was full.
+    /// Not set up: turned back by a tandem, or a processor or pool was full.
     Rejected,
-    /// No answer in time.
+    /// No answer within the timeout.
     TimedOut,
     /// The exchange could not be reached; the set-up never ran.
     Unreachable,
-    /// The set-up or the standing call was cut.
+    /// The set-up, or the call that stood, was cut.
     Cut,
-    /// Called off.
+    /// Cancelled.
     CalledOff,
     /// Never sent.
     NotSent,
 }
 
-/// Why a set-up did not go through, where it is told.
+/// Why a set-up failed, if known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// No cause was given.
     Untold,
-    /// No circuit, or no agent.
+    /// No free circuit or agent.
     NoCircuit,
-    /// The tandem turned it back.
+    /// Turned back by the tandem.
     TurnedBack,
-    /// The tandem turned it back because the processor beyond was full.
+    /// Turned back by the tandem because the processor of the destination was full.
     FullBeyond,
-    /// The processor was full (not sent: the own one is down), with the wait it states, if any.
+    /// The processor was full, with its stated waiting time, if any. With [`Outcome::NotSent`]: the own
+    /// processor is down.
     ProcessorFull(Option<Nanos>),
-    /// All lines of the number are engaged.
+    /// All lines of the number were engaged.
     NumberBusy,
 }
 
-/// A call as it is handed to this exchange.
+/// A call offered to this exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewCall {
     /// The call.
     pub call: CallId,
     /// Index of its class.
     pub class: usize,
-    /// The number dialled, where it is told.
+    /// The dialled number, if known.
     pub dialled: Option<NumberId>,
     /// When the caller gives up this try.
     pub deadline: Nanos,
-    /// Number of the exchange (or of the pool of first choice) it is for.
+    /// Number of the destination exchange, or of the first-choice pool.
     pub destination: u32,
-    /// Circuits it seizes on each group.
+    /// Circuits that it seizes on each trunk group.
     pub width: u32,
-    /// The tandem or pool that had most room at the centre's last look.
+    /// Advice: the tandem or pool that had the most room when the network centre last checked.
     pub advised_route: Option<u32>,
-    /// Whether it is in transit here.
+    /// Whether this exchange is the tandem of the call.
     pub in_transit: bool,
-    /// Whether it was cut and comes again.
+    /// Whether the caller dials again because its call was cut.
     pub after_cut: bool,
 }
 
-/// What an instance is told.
+/// Input of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list of exchanges.
+    /// The list of exchanges changed.
     ListUpdated(ListUpdate, Vec<Entry>),
-    /// A call to decide.
+    /// A call is offered.
     CallOffered(NewCall),
-    /// An attempt's call stands.
+    /// The call of an attempt stands.
     CallStands {
         /// The call.
         call: CallId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// Time since it was sent.
+        /// Time since the set-up was sent.
         elapsed: Nanos,
     },
     /// An attempt ended.
@@ -357,24 +361,24 @@
         exchange: ExchangeId,
         /// How it ended.
         outcome: Outcome,
-        /// Why, where it is told.
+        /// Why it failed, if known.
         cause: Cause,
-        /// Time since it was sent.
+        /// Time since the set-up was sent.
         elapsed: Nanos,
-        /// Whether the call is over with this, or was before.
+        /// Whether the call is over with this event, or was before.
         call_over: bool,
-        /// The report that came with it.
+        /// The report received with it.
         report: LoadReport,
     },
-    /// The caller has left, or the answer is overdue.
+    /// The caller has hung up, or its answer is overdue.
     CallerHungUp(CallId),
-    /// A timer that the module asked for.
+    /// A timer set by [`Action::SetTimer`] expired; carries its token.
     TimerExpired(u64),
-    /// An answer to a probe, or (with `elapsed` zero) unasked news of free circuits.
+    /// The result of a probe, or (with `elapsed` zero) an unsolicited report of free circuits.
     LoadReported {
         /// The exchange.
         exchange: ExchangeId,
-        /// Whether it answered.
+        /// Whether the exchange answered.
         answered: bool,
         /// Time since the probe was sent.
         elapsed: Nanos,
@@ -383,42 +387,42 @@
     },
 }
 
-/// What an instance does.
+/// Output of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start a set-up towards an exchange, to end within `timeout`.
+    /// Send a set-up to an exchange.
     SendSetUp {
         /// The call.
         call: CallId,
-        /// Where to.
+        /// The exchange.
         exchange: ExchangeId,
-        /// How long to wait for it.
+        /// How long to wait for the answer.
         timeout: Nanos,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     CancelAttempt {
         /// The call.
         call: CallId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: refused; the caller is asked to pause so long (0: nothing said).
+    /// Final answer: refused.
     Refuse {
         /// The call.
         call: CallId,
-        /// The pause.
+        /// How long the caller is asked to wait before it dials again (0: not given).
         retry_after: Nanos,
     },
     /// Final answer: failed.
     Fail(CallId),
-    /// Ask for an [`Event::TimerExpired`] with this token at this time.
+    /// Request an [`Event::TimerExpired`] with this token at this time.
     SetTimer(u64, Nanos),
-    /// Ask an exchange how it is.
+    /// Probe an exchange for a load report.
     Probe(ExchangeId),
-    /// Ask for changes of the list from now on.
+    /// Subscribe to updates of the list of exchanges.
     Subscribe,
-    /// Ask for the whole list once.
+    /// Request the whole list once.
     FetchList,
-    /// A line for the operators' report.
+    /// A line for the operator's report.
     Note(String),
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,7 +1,7 @@
-//! Codec of the line protocol between a host and the decision module: JSON arrays, one a line.
+//! Codec of the simulator's line protocol: one JSON array per line.
 //!
-//! It turns lines into [`Event`]s and [`Action`]s into lines, and gives out the numbers by which the module
-//! knows exchanges, calls and dialled numbers. Nothing is decided here.
+//! Parses lines into [`Event`]s, formats [`Action`]s as lines, and assigns the ids by which the decision
+//! module knows exchanges, calls and dialled numbers. Makes no decisions.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,20 +11,20 @@
 
 use crate::interface::*;
 
-/// A line that cannot be taken: which event, which field, what was expected.
+/// A line that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError {
-    /// Name of the event, or what stands in its place.
+    /// Name of the event, or `line` if it could not be read.
     pub event: String,
     /// Name of the field.
     pub field: String,
-    /// What was expected there.
+    /// What was expected in this field.
     pub expected: String,
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // One plain line, whatever the input held.
+        // A single line, even if the input contains control characters.
         let text = format!("{}: {}: expected {}", self.event, self.field, self.expected);
         f.write_str(&text.replace(|c: char| c.is_control(), " "))
     }
@@ -32,77 +32,77 @@
 
 impl std::error::Error for WireError {}
 
-fn error(event: &str, field: &str, expected: impl Into<String>) -> WireError {
+fn wire_error(event: &str, field: &str, expected: impl Into<String>) -> WireError {
     WireError { event: event.into(), field: field.into(), expected: expected.into() }
 }
 
-/// One message: its name and its values by position.
+/// A message: its name and its positional values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// The name.
+    /// Name of the message.
     pub name: String,
     values: Vec<Value>,
 }
 
 impl Message {
-    /// Reads one line.
+    /// Parses one line.
     pub fn parse(line: &str) -> Result<Message, WireError> {
         let value: Value =
-            serde_json::from_str(line).map_err(|e| error("line", "JSON", format!("an array ({e})")))?;
+            serde_json::from_str(line).map_err(|e| wire_error("line", "JSON", format!("an array ({e})")))?;
         let Value::Array(mut values) = value else {
-            return Err(error("line", "JSON", "an array"));
+            return Err(wire_error("line", "JSON", "an array"));
         };
         if values.is_empty() || !values[0].is_string() {
-            return Err(error("line", "name", "a text"));
+            return Err(wire_error("line", "name", "a string"));
         }
         let Value::String(name) = values.remove(0) else { unreachable!("checked above") };
         Ok(Message { name, values })
     }
 
-    fn at(&self, i: usize) -> &Value {
-        self.values.get(i).unwrap_or(&Value::Null)
+    fn value(&self, index: usize) -> &Value {
+        self.values.get(index).unwrap_or(&Value::Null)
     }
 
-    fn need<T>(&self, field: &str, expected: &str, got: Option<T>) -> Result<T, WireError> {
-        got.ok_or_else(|| error(&self.name, field, expected))
+    fn require<T>(&self, field: &str, expected: &str, parsed: Option<T>) -> Result<T, WireError> {
+        parsed.ok_or_else(|| wire_error(&self.name, field, expected))
     }
 
-    fn maybe<T>(
+    fn optional<T>(
         &self,
-        i: usize,
+        index: usize,
         field: &str,
         expected: &str,
-        read: fn(&Value) -> Option<T>,
+        parse: fn(&Value) -> Option<T>,
     ) -> Result<Option<T>, WireError> {
-        match self.at(i) {
+        match self.value(index) {
             Value::Null => Ok(None),
-            v => self.need(field, expected, read(v)).map(Some),
+            v => self.require(field, expected, parse(v)).map(Some),
         }
     }
 
-    /// A required text.
-    pub fn text(&self, i: usize, field: &str) -> Result<&str, WireError> {
-        self.need(field, "a text", self.at(i).as_str())
+    /// A required string.
+    pub fn text(&self, index: usize, field: &str) -> Result<&str, WireError> {
+        self.require(field, "a string", self.value(index).as_str())
     }
 
-    /// A required whole number, zero or above.
-    pub fn whole(&self, i: usize, field: &str) -> Result<u64, WireError> {
-        self.need(field, "a whole number, 0 or above", as_whole(self.at(i)))
+    /// A required non-negative integer.
+    pub fn integer(&self, index: usize, field: &str) -> Result<u64, WireError> {
+        self.require(field, "a non-negative integer", as_integer(self.value(index)))
     }
 
-    fn truth(&self, i: usize, field: &str) -> Result<bool, WireError> {
-        Ok(self.maybe(i, field, "true or false", Value::as_bool)?.unwrap_or(false))
+    fn boolean(&self, index: usize, field: &str) -> Result<bool, WireError> {
+        Ok(self.optional(index, field, "true or false", Value::as_bool)?.unwrap_or(false))
     }
 
-    fn table(&self, i: usize, field: &str) -> Result<Option<&Map<String, Value>>, WireError> {
-        match self.at(i) {
+    fn object(&self, index: usize, field: &str) -> Result<Option<&Map<String, Value>>, WireError> {
+        match self.value(index) {
             Value::Null => Ok(None),
-            v => self.need(field, "an object", v.as_object()).map(Some),
+            v => self.require(field, "an object", v.as_object()).map(Some),
         }
     }
 }
 
-fn as_whole(v: &Value) -> Option<u64> {
+fn as_integer(v: &Value) -> Option<u64> {
     v.as_u64()
         .or_else(|| v.as_f64().filter(|f| f.fract() == 0.0 && (0.0..1.8e19).contains(f)).map(|f| f as u64))
 }
@@ -111,7 +111,7 @@
     v.as_f64().filter(|f| f.is_finite())
 }
 
-/// Null is how the wire says absent, in the settings too.
+/// Removes object members that are null, which means absent on this protocol.
 fn without_nulls(v: &Value) -> Value {
     match v {
         Value::Object(o) => {
@@ -123,7 +123,7 @@
     }
 }
 
-/// The start-up settings as they stand on the wire. Keys not named here are ignored.
+/// The settings object of a `LAUNCH` message. Unknown keys are ignored.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct BootInfo {
@@ -209,46 +209,51 @@
     overload_for: u64,
 }
 
-/// What the codec keeps of a call: its handle and whether the wire may still speak of it.
+/// A call that messages may still refer to.
 #[derive(Debug)]
-struct CallName {
-    handle: CallId,
-    sends: u32,
-    out: u32,
+struct CallEntry {
+    call_id: CallId,
+    attempts_sent: u32,
+    pending_attempts: u32,
+    /// The final answer is still due.
     open: bool,
 }
 
-/// The names of one instance: what the wire calls things and what the module calls them.
+/// Maps the names that one instance uses on the wire to the ids of the decision module, and back.
 #[derive(Debug, Default)]
 pub struct NameTable {
-    grades: Vec<String>,
-    zones: Vec<String>,
-    exchanges: BTreeMap<String, ExchangeId>,
+    class_names: Vec<String>,
+    zone_names: Vec<String>,
+    exchange_ids: BTreeMap<String, ExchangeId>,
     exchange_names: Vec<String>,
-    calls: BTreeMap<String, CallName>,
-    call_ids: BTreeMap<CallId, String>,
-    numbers: BTreeMap<String, NumberId>,
+    calls: BTreeMap<String, CallEntry>,
+    call_names: BTreeMap<CallId, String>,
+    number_ids: BTreeMap<String, NumberId>,
     next_call: CallId,
     next_number: NumberId,
 }
 
-/// How many dialled numbers keep their handle; past that the table starts anew (a handle is never reused).
-const NUMBERS_KEPT: usize = 100_000;
+/// Capacity of the table of dialled numbers. When it is full, the table is cleared; ids are never reused.
+const MAX_DIALLED_NUMBERS: usize = 100_000;
+/// Bit of the call bitmap: the call is in transit.
+const IN_TRANSIT_BIT: u64 = 8;
+/// Bit of the call bitmap: the caller dials again after its call was cut.
+const AFTER_CUT_BIT: u64 = 16;
 
 impl NameTable {
-    /// Reads the settings of a `LAUNCH` and starts the names of that instance.
-    pub fn from_launch(m: &Message) -> Result<(NameTable, Settings, u64), WireError> {
-        let seed = m.whole(1, "seed")?;
-        m.table(2, "boot-info")?;
-        let info = BootInfo::deserialize(without_nulls(m.at(2)))
-            .map_err(|e| error(&m.name, "boot-info", e.to_string()))?;
+    /// Reads a `LAUNCH` message: the name table of the new instance, its settings and its random seed.
+    pub fn from_launch(message: &Message) -> Result<(NameTable, Settings, u64), WireError> {
+        let seed = message.integer(1, "seed")?;
+        message.object(2, "boot-info")?;
+        let info = BootInfo::deserialize(without_nulls(message.value(2)))
+            .map_err(|e| wire_error(&message.name, "boot-info", e.to_string()))?;
         let family = info.family_info;
         let names = NameTable {
-            grades: info.grades.iter().map(|g| g.name.clone()).collect(),
-            zones: info.dcs,
+            class_names: info.grades.iter().map(|g| g.name.clone()).collect(),
+            zone_names: info.dcs,
             ..NameTable::default()
         };
-        let pick = |key: &str| info.charges.get(key).and_then(as_number).unwrap_or(0.0);
+        let charge = |key: &str| info.charges.get(key).and_then(as_number).unwrap_or(0.0);
         let settings = Settings {
             controller_count: info.instances,
             controller_index: info.my_number,
@@ -258,136 +263,151 @@
             } else {
                 Topology::Mesh
             },
-            zone: names.zone(info.az.as_deref()),
+            zone: names.zone_index(info.az.as_deref()),
             classes: (info.grades.iter().enumerate())
-                .map(|(i, g)| Class {
-                    aim: g.aim,
-                    deadline: g.deadline,
-                    worth: g.worth,
-                    late_worth: g.late_worth,
-                    width: family.circuits_by_class.get(i).copied().flatten().unwrap_or(1),
-                    hold: family.mean_hold.get(i).copied().flatten().unwrap_or(0),
-                    pools: family.class_cells.get(i).cloned().flatten().unwrap_or_default(),
-                    repeatable: g.idempotency.as_deref().unwrap_or("safe") == "safe",
+                .map(|(index, grade)| Class {
+                    delay_target: grade.aim,
+                    deadline: grade.deadline,
+                    worth: grade.worth,
+                    late_worth_share: grade.late_worth,
+                    width: family.circuits_by_class.get(index).copied().flatten().unwrap_or(1),
+                    mean_duration: family.mean_hold.get(index).copied().flatten().unwrap_or(0),
+                    pools: family.class_cells.get(index).cloned().flatten().unwrap_or_default(),
+                    idempotent: grade.idempotency.as_deref().unwrap_or("safe") == "safe",
                 })
                 .collect(),
-            reports: match info.report.how.as_deref() {
-                Some("answers") => Reports::Answers,
-                Some("probe") => Reports::Probes,
-                _ => Reports::None,
+            load_reporting: match info.report.how.as_deref() {
+                Some("answers") => LoadReporting::AnswersAndProbes,
+                Some("probe") => LoadReporting::ProbesOnly,
+                _ => LoadReporting::Never,
             },
             max_attempts: info.permissions.attempts_cap.unwrap_or(1),
             may_probe: info.permissions.may_probe,
             may_cancel: info.permissions.cancel,
             max_retry_after: Some(info.permissions.max_retry_after).filter(|_| info.permissions.retry_after),
             list_on_request: info.registry_mode.as_deref() == Some("on_request"),
-            ask_within: info.rules.ask_within,
+            max_list_age: info.rules.ask_within,
             release_wait: family.release,
-            resend: family.resend,
+            retransmit_interval: family.resend,
             drain_grace: info.rules.drain_grace,
             answer_slack: info.rules.answer_slack,
-            cold: ColdRule {
-                from: info.rules.cold_from,
-                lasts: info.rules.cold,
-                multiple: info.rules.overload_factor,
-                window: info.rules.overload_for,
+            cold_start: ColdStartRule {
+                initial_capacity_share: info.rules.cold_from,
+                max_duration: info.rules.cold,
+                overload_factor: info.rules.overload_factor,
+                overload_window: info.rules.overload_for,
             },
             tick: info.tick,
-            late_fail_price: pick("late-fail"),
-            probe_price: pick("probe"),
+            late_failure_penalty: charge("late-fail"),
+            probe_penalty: charge("probe"),
         };
         Ok((names, settings, seed))
     }
 
-    fn zone(&self, name: Option<&str>) -> u32 {
-        // A zone that the settings did not name is one more.
-        let found = name.and_then(|n| self.zones.iter().position(|z| z == n));
-        found.unwrap_or(self.zones.len()) as u32
+    fn zone_index(&self, name: Option<&str>) -> u32 {
+        // All zones that the settings do not name share one further index.
+        let found = name.and_then(|n| self.zone_names.iter().position(|z| z == n));
+        found.unwrap_or(self.zone_names.len()) as u32
     }
 
-    fn exchange(&mut self, name: &str) -> ExchangeId {
-        if let Some(&id) = self.exchanges.get(name) {
+    fn exchange_id(&mut self, name: &str) -> ExchangeId {
+        if let Some(&id) = self.exchange_ids.get(name) {
             return id;
         }
         let id = self.exchange_names.len() as ExchangeId;
         self.exchange_names.push(name.to_string());
-        self.exchanges.insert(name.to_string(), id);
+        self.exchange_ids.insert(name.to_string(), id);
         id
     }
 
-    fn number(&mut self, name: &str) -> NumberId {
-        if let Some(&id) = self.numbers.get(name) {
+    fn number_id(&mut self, name: &str) -> NumberId {
+        if let Some(&id) = self.number_ids.get(name) {
             return id;
         }
-        if self.numbers.len() >= NUMBERS_KEPT {
-            self.numbers.clear();
+        if self.number_ids.len() >= MAX_DIALLED_NUMBERS {
+            self.number_ids.clear();
         }
         self.next_number += 1;
-        self.numbers.insert(name.to_string(), self.next_number);
+        self.number_ids.insert(name.to_string(), self.next_number);
         self.next_number
     }
 
-    fn forget_if_over(&mut self, id: &str) {
+    fn remove_if_finished(&mut self, id: &str) {
         if let Some(c) = self.calls.get(id) {
-            if !c.open && c.out == 0 {
-                self.call_ids.remove(&c.handle);
+            if !c.open && c.pending_attempts == 0 {
+                self.call_names.remove(&c.call_id);
                 self.calls.remove(id);
             }
         }
     }
 
-    /// Reads an event for this instance. `None`: it speaks of a call that is over, or of nothing used here.
-    pub fn event(&mut self, m: &Message, pages: &Pages) -> Result<Option<Event>, WireError> {
-        Ok(match m.name.as_str() {
-            "MEMBERS" => self.list(m, pages)?,
-            "KNOCK" => Some(Event::CallOffered(self.knock(m)?)),
+    /// Parses an event for this instance. `None` if it refers to a finished call or is not used.
+    pub fn parse_event(&mut self, message: &Message, pages: &ListPages) -> Result<Option<Event>, WireError> {
+        Ok(match message.name.as_str() {
+            "MEMBERS" => self.parse_list_update(message, pages)?,
+            "KNOCK" => Some(Event::CallOffered(self.parse_call_offer(message)?)),
             "ESTABLISHED" => {
-                let (id, attempt) = (m.text(1, "op-id")?, m.whole(2, "send-no")? as u32);
-                let elapsed = m.whole(4, "wait-time")?;
-                self.calls.get(id).map(|c| Event::CallStands { call: c.handle, attempt, elapsed })
+                let (id, attempt) = (message.text(1, "op-id")?, message.integer(2, "send-no")? as u32);
+                let elapsed = message.integer(4, "wait-time")?;
+                self.calls.get(id).map(|c| Event::CallStands { call: c.call_id, attempt, elapsed })
             }
-            "DONE" => self.done(m)?,
+            "DONE" => self.parse_attempt_end(message)?,
             "HANGUP" => {
-                let id = m.text(1, "op-id")?;
-                let handle = self.calls.get_mut(id).map(|c| {
+                let id = message.text(1, "op-id")?;
+                let call = self.calls.get_mut(id).map(|c| {
                     c.open = false;
-                    c.handle
+                    c.call_id
                 });
-                self.forget_if_over(id);
-                handle.map(Event::CallerHungUp)
+                self.remove_if_finished(id);
+                call.map(Event::CallerHungUp)
             }
             "BELL" => {
-                let token = m.text(1, "cookie")?;
+                let token = message.text(1, "cookie")?;
                 Some(Event::TimerExpired(
-                    token.parse().map_err(|_| error(&m.name, "cookie", "a token set here"))?,
+                    token
+                        .parse()
+                        .map_err(|_| wire_error(&message.name, "cookie", "a timer token of this instance"))?,
                 ))
             }
             "CHECK_RESULT" => {
-                let exchange = self.exchange(m.text(1, "exchange")?);
-                let answered = m.text(2, "result")? == "success";
-                let elapsed = m.maybe(3, "wait-time", "a whole number, 0 or above", as_whole)?.unwrap_or(0);
-                Some(Event::LoadReported { exchange, answered, elapsed, report: report(m, 4)? })
+                let exchange = self.exchange_id(message.text(1, "exchange")?);
+                let answered = message.text(2, "result")? == "success";
+                let elapsed =
+                    message.optional(3, "wait-time", "a non-negative integer", as_integer)?.unwrap_or(0);
+                Some(Event::LoadReported {
+                    exchange,
+                    answered,
+                    elapsed,
+                    report: parse_load_report(message, 4)?,
+                })
             }
             "INBOX" => None,
-            _ => return Err(error(&m.name, "name", "an event of the protocol")),
+            _ => return Err(wire_error(&message.name, "name", "an event of the protocol")),
         })
     }
 
-    fn list(&mut self, m: &Message, pages: &Pages) -> Result<Option<Event>, WireError> {
-        let kind = match m.text(1, "mode")? {
+    fn parse_list_update(
+        &mut self,
+        message: &Message,
+        pages: &ListPages,
+    ) -> Result<Option<Event>, WireError> {
+        let kind = match message.text(1, "mode")? {
             "update" => ListUpdate::Changes,
             "replace" => ListUpdate::Whole,
             "restored" => ListUpdate::Restored,
             "unavailable" => return Ok(Some(Event::ListUpdated(ListUpdate::Unavailable, Vec::new()))),
-            _ => return Err(error(&m.name, "mode", "update, replace, restored or unavailable")),
+            _ => return Err(wire_error(&message.name, "mode", "update, replace, restored or unavailable")),
         };
-        let slot = m.whole(3, "slot")?;
-        let page = pages.0.get(&slot).ok_or_else(|| error(&m.name, "slot", "a page sent before"))?;
+        let slot = message.integer(3, "slot")?;
+        let page = pages
+            .0
+            .get(&slot)
+            .ok_or_else(|| wire_error(&message.name, "slot", "the slot of a page sent before"))?;
         let entries = (page.iter())
             .map(|e| Entry {
-                exchange: self.exchange(&e.exchange),
+                exchange: self.exchange_id(&e.exchange),
                 number: e.number,
-                zone: self.zone(e.zone.as_deref()),
+                zone: self.zone_index(e.zone.as_deref()),
                 since: e.since,
                 standing: e.standing,
             })
@@ -395,41 +415,42 @@
         Ok(Some(Event::ListUpdated(kind, entries)))
     }
 
-    fn knock(&mut self, m: &Message) -> Result<NewCall, WireError> {
-        let id = m.text(1, "op-id")?.to_string();
-        let grade = m.text(2, "priority")?;
-        let class = self.grades.iter().position(|g| g == grade);
-        let class = class.ok_or_else(|| error(&m.name, "priority", "a class of the settings"))?;
-        let key = m.maybe(4, "path-key", "a text", |v| v.as_str().map(String::from))?;
-        let deadline = m.whole(5, "deadline")?;
-        let number = |v: &Value| as_whole(v).and_then(|n| u32::try_from(n).ok());
-        let destination = m
-            .maybe(7, "far-end", "a number of an exchange", number)?
-            .ok_or_else(|| error(&m.name, "far-end", "a number of an exchange"))?;
-        let width = m.maybe(8, "circuits", "a whole number of circuits", number)?.unwrap_or(1);
-        let advised = m.maybe(9, "advised-route", "a number", as_number)?;
-        let bits = m.maybe(10, "bitmap", "a sum of bit values", as_whole)?.unwrap_or(0);
-        let handle = self.next_call;
+    fn parse_call_offer(&mut self, message: &Message) -> Result<NewCall, WireError> {
+        let id = message.text(1, "op-id")?.to_string();
+        let class_name = message.text(2, "priority")?;
+        let class = self.class_names.iter().position(|name| name == class_name);
+        let class = class.ok_or_else(|| wire_error(&message.name, "priority", "a class of the settings"))?;
+        let dialled = message.optional(4, "path-key", "a string", |v| v.as_str().map(String::from))?;
+        let deadline = message.integer(5, "deadline")?;
+        let number = |v: &Value| as_integer(v).and_then(|n| u32::try_from(n).ok());
+        let destination = message
+            .optional(7, "far-end", "a number of an exchange", number)?
+            .ok_or_else(|| wire_error(&message.name, "far-end", "a number of an exchange"))?;
+        let width = message.optional(8, "circuits", "a whole number of circuits", number)?.unwrap_or(1);
+        let advised = message.optional(9, "advised-route", "a number", as_number)?;
+        let bitmap = message.optional(10, "bitmap", "a bitmap", as_integer)?.unwrap_or(0);
+        let call_id = self.next_call;
         self.next_call += 1;
-        self.calls.insert(id.clone(), CallName { handle, sends: 0, out: 0, open: true });
-        self.call_ids.insert(handle, id);
+        self.calls
+            .insert(id.clone(), CallEntry { call_id, attempts_sent: 0, pending_attempts: 0, open: true });
+        self.call_names.insert(call_id, id);
         Ok(NewCall {
-            call: handle,
+            call: call_id,
             class,
-            dialled: key.map(|k| self.number(&k)),
+            dialled: dialled.map(|number| self.number_id(&number)),
             deadline,
             destination,
             width,
             advised_route: advised.filter(|a| *a >= 0.0).map(|a| a as u32),
-            in_transit: bits & 8 != 0,
-            after_cut: bits & 16 != 0,
+            in_transit: bitmap & IN_TRANSIT_BIT != 0,
+            after_cut: bitmap & AFTER_CUT_BIT != 0,
         })
     }
 
-    fn done(&mut self, m: &Message) -> Result<Option<Event>, WireError> {
-        let (id, attempt) = (m.text(1, "op-id")?, m.whole(2, "send-no")? as u32);
-        let exchange = self.exchange(m.text(3, "exchange")?);
-        let outcome = match m.text(4, "result")? {
+    fn parse_attempt_end(&mut self, message: &Message) -> Result<Option<Event>, WireError> {
+        let (id, attempt) = (message.text(1, "op-id")?, message.integer(2, "send-no")? as u32);
+        let exchange = self.exchange_id(message.text(3, "exchange")?);
+        let outcome = match message.text(4, "result")? {
             "success" => Outcome::Completed,
             "failure" => Outcome::Failed,
             "overloaded" => Outcome::Rejected,
@@ -438,28 +459,30 @@
             "broken" => Outcome::Cut,
             "withdrawn" => Outcome::CalledOff,
             "void" => Outcome::NotSent,
-            _ => return Err(error(&m.name, "result", "an ending of the protocol")),
+            _ => return Err(wire_error(&message.name, "result", "an outcome of the protocol")),
         };
-        let elapsed = m.maybe(5, "wait-time", "a whole number, 0 or above", as_whole)?.unwrap_or(0);
-        let call_over = m.truth(6, "settled")?;
-        let code = m.maybe(7, "clear-code", "a whole number, 0 or above", as_whole)?.unwrap_or(0);
-        let cause = match (code % 16, code / 16) {
+        let elapsed = message.optional(5, "wait-time", "a non-negative integer", as_integer)?.unwrap_or(0);
+        let call_over = message.boolean(6, "settled")?;
+        let clear_code =
+            message.optional(7, "clear-code", "a non-negative integer", as_integer)?.unwrap_or(0);
+        // The low four bits are the cause. The rest qualifies it: destination full, or the wait in ms.
+        let cause = match (clear_code % 16, clear_code / 16) {
             (1, _) => Cause::NoCircuit,
             (2, 0) => Cause::TurnedBack,
             (2, _) => Cause::FullBeyond,
             (3, 0) => Cause::ProcessorFull(None),
-            (3, wait) => Cause::ProcessorFull(Some(wait.saturating_mul(1_000_000))),
+            (3, wait_ms) => Cause::ProcessorFull(Some(wait_ms.saturating_mul(1_000_000))),
             (4, _) => Cause::NumberBusy,
             _ => Cause::Untold,
         };
-        let report = report(m, 8)?;
-        let handle = self.calls.get_mut(id).map(|c| {
-            c.out = c.out.saturating_sub(1);
+        let report = parse_load_report(message, 8)?;
+        let call = self.calls.get_mut(id).map(|c| {
+            c.pending_attempts = c.pending_attempts.saturating_sub(1);
             c.open &= !call_over;
-            c.handle
+            c.call_id
         });
-        self.forget_if_over(id);
-        Ok(handle.map(|call| Event::AttemptEnded {
+        self.remove_if_finished(id);
+        Ok(call.map(|call| Event::AttemptEnded {
             call,
             attempt,
             exchange,
@@ -471,23 +494,23 @@
         }))
     }
 
-    /// Writes an action of this instance as a line. `None`: it speaks of a call that is over.
-    pub fn action(&mut self, instance: &str, action: &Action) -> Option<String> {
+    /// Formats an action of this instance as a line. `None` if it refers to a finished call.
+    pub fn format_action(&mut self, instance: &str, action: &Action) -> Option<String> {
         let value = match action {
             Action::SendSetUp { call, exchange, timeout } => {
-                let id = self.call_ids.get(call)?;
+                let id = self.call_names.get(call)?;
                 let c = self.calls.get_mut(id)?;
-                c.sends += 1;
-                c.out += 1;
+                c.attempts_sent += 1;
+                c.pending_attempts += 1;
                 json!(["SEND", instance, id, self.exchange_names.get(*exchange as usize)?, timeout])
             }
             Action::CancelAttempt { call, attempt } => {
-                json!(["RETRACT", instance, self.call_ids.get(call)?, attempt])
+                json!(["RETRACT", instance, self.call_names.get(call)?, attempt])
             }
             Action::Refuse { call, retry_after } => {
-                json!(["DECLINE", instance, self.answered(*call)?, retry_after])
+                json!(["DECLINE", instance, self.close_call(*call)?, retry_after])
             }
-            Action::Fail(call) => json!(["LOSE", instance, self.answered(*call)?]),
+            Action::Fail(call) => json!(["LOSE", instance, self.close_call(*call)?]),
             Action::SetTimer(token, at) => json!(["AFTER", instance, token.to_string(), at]),
             Action::Probe(exchange) => {
                 json!(["TOUCH", instance, self.exchange_names.get(*exchange as usize)?])
@@ -499,27 +522,28 @@
         Some(value.to_string())
     }
 
-    fn answered(&mut self, call: CallId) -> Option<String> {
-        let id = self.call_ids.get(&call)?.clone();
+    /// Closes a call with its final answer and returns its name on the wire.
+    fn close_call(&mut self, call: CallId) -> Option<String> {
+        let id = self.call_names.get(&call)?.clone();
         self.calls.get_mut(&id)?.open = false;
-        self.forget_if_over(&id);
+        self.remove_if_finished(&id);
         Some(id)
     }
 }
 
-fn report(m: &Message, i: usize) -> Result<LoadReport, WireError> {
-    let Some(table) = m.table(i, "usage")? else { return Ok(LoadReport::default()) };
-    // Absent, negative and non-finite values all count as not reported.
-    let get = |name: &str| table.get(name).and_then(as_number).filter(|f| *f >= 0.0);
+fn parse_load_report(message: &Message, index: usize) -> Result<LoadReport, WireError> {
+    let Some(usage) = message.object(index, "usage")? else { return Ok(LoadReport::default()) };
+    // Missing, negative and non-finite values count as not reported.
+    let get = |name: &str| usage.get(name).and_then(as_number).filter(|f| *f >= 0.0);
     Ok(LoadReport {
         free_circuits: get("spare"),
         group_size: get("total"),
-        busy: get("load_share"),
-        queue: get("depth"),
-        wait_ms: get("mean_ms"),
-        working: get("concurrent"),
-        allowed: get("allowed"),
-        hold_back: get("cut_by"),
+        processor_load: get("load_share"),
+        queue_length: get("depth"),
+        queue_wait_ms: get("mean_ms"),
+        messages_in_progress: get("concurrent"),
+        allowed_set_ups_per_sec: get("allowed"),
+        throttled_share: get("cut_by"),
     })
 }
 
@@ -532,33 +556,33 @@
     number: u32,
 }
 
-/// The numbered lists in force, shared by all instances of a host as they come on the wire.
+/// The lists of exchanges received in `PAGE` messages, by slot; shared by all instances of a host.
 #[derive(Debug, Default)]
-pub struct Pages(BTreeMap<u64, Vec<PageEntry>>);
+pub struct ListPages(BTreeMap<u64, Vec<PageEntry>>);
 
-impl Pages {
-    /// Takes in a `PAGE`.
-    pub fn put(&mut self, m: &Message) -> Result<(), WireError> {
-        let slot = m.whole(0, "slot")?;
-        let entries = m.need("elements", "an array of entries", m.at(1).as_array())?;
+impl ListPages {
+    /// Stores the list of a `PAGE` message.
+    pub fn insert(&mut self, message: &Message) -> Result<(), WireError> {
+        let slot = message.integer(0, "slot")?;
+        let entries = message.require("elements", "an array of entries", message.value(1).as_array())?;
         let mut page = Vec::with_capacity(entries.len());
-        for e in entries {
-            let e = Message {
-                name: m.name.clone(),
-                values: m.need("elements", "an array of arrays", e.as_array())?.clone(),
+        for entry in entries {
+            let entry = Message {
+                name: message.name.clone(),
+                values: message.require("elements", "an array of arrays", entry.as_array())?.clone(),
             };
-            let number = |v: &Value| as_whole(v).and_then(|n| u32::try_from(n).ok());
+            let number = |v: &Value| as_integer(v).and_then(|n| u32::try_from(n).ok());
             page.push(PageEntry {
-                exchange: e.text(0, "exchange")?.to_string(),
-                since: e.maybe(1, "online-since", "a clock time", as_whole)?.filter(|t| *t > 0),
-                zone: e.maybe(2, "dc", "a text", |v| v.as_str().map(String::from))?,
-                standing: match e.text(3, "lifecycle")? {
+                exchange: entry.text(0, "exchange")?.to_string(),
+                since: entry.optional(1, "online-since", "a time in ns", as_integer)?.filter(|t| *t > 0),
+                zone: entry.optional(2, "dc", "a string", |v| v.as_str().map(String::from))?,
+                standing: match entry.text(3, "lifecycle")? {
                     "IN" => ExchangeState::Up,
                     "LAME" => ExchangeState::Draining,
                     "OUT" => ExchangeState::Gone,
-                    _ => return Err(error(&m.name, "lifecycle", "IN, LAME or OUT")),
+                    _ => return Err(wire_error(&message.name, "lifecycle", "IN, LAME or OUT")),
                 },
-                number: e.maybe(6, "place-no", "a number", number)?.unwrap_or(u32::MAX),
+                number: entry.optional(6, "place-no", "a number", number)?.unwrap_or(u32::MAX),
             });
         }
         self.0.insert(slot, page);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small exchange to drive the module with: events in, actions out.
+//! Test harness that drives one controller: delivers events and collects its actions.
 #![allow(dead_code)]
 
 use std::collections::BTreeSet;
@@ -9,20 +9,20 @@
 pub const MS: Nanos = 1_000_000;
 pub const SEC: Nanos = 1_000_000_000;
 
-pub fn class(aim: Nanos, worth: f64) -> Class {
+pub fn class(delay_target: Nanos, worth: f64) -> Class {
     Class {
-        aim,
+        delay_target,
         deadline: 9 * SEC,
         worth,
-        late_worth: 0.1,
+        late_worth_share: 0.1,
         width: 1,
-        hold: 10 * SEC,
+        mean_duration: 10 * SEC,
         pools: Vec::new(),
-        repeatable: true,
+        idempotent: true,
     }
 }
 
-/// Four agents in a mesh; this one is exchange 0.
+/// Settings of a mesh with four controllers; this one is at exchange 0.
 pub fn settings() -> Settings {
     Settings {
         controller_count: 4,
@@ -31,56 +31,71 @@
         topology: Topology::Mesh,
         zone: 0,
         classes: vec![class(2 * SEC, 1.0), class(SEC, 8.0)],
-        reports: Reports::None,
+        load_reporting: LoadReporting::Never,
         max_attempts: 4,
         may_probe: false,
         may_cancel: true,
         max_retry_after: None,
         list_on_request: false,
-        ask_within: 10 * SEC,
+        max_list_age: 10 * SEC,
         release_wait: 300 * MS,
-        resend: 0,
+        retransmit_interval: 0,
         drain_grace: SEC,
         answer_slack: 20 * MS,
-        cold: ColdRule { from: 0.3, lasts: 14 * SEC, multiple: 2.0, window: 2 * SEC },
+        cold_start: ColdStartRule {
+            initial_capacity_share: 0.3,
+            max_duration: 14 * SEC,
+            overload_factor: 2.0,
+            overload_window: 2 * SEC,
+        },
         tick: 5 * MS,
-        late_fail_price: 0.05,
-        probe_price: 0.0,
+        late_failure_penalty: 0.05,
+        probe_penalty: 0.0,
     }
 }
 
-pub struct Rig {
+/// A set-up that the controller sent.
+#[derive(Clone, Copy, Debug)]
+pub struct SentSetUp {
+    pub at: Nanos,
+    pub call: CallId,
+    pub exchange: ExchangeId,
+}
+
+pub struct Harness {
     pub controller: Controller,
     pub now: Nanos,
-    next: CallId,
+    next_call: CallId,
+    /// Timers that are set: when they are due, and their tokens.
     timers: BTreeSet<(Nanos, u64)>,
-    /// Set-ups sent and not yet looked at by the test.
-    pub sent: Vec<(Nanos, CallId, ExchangeId)>,
+    /// Set-ups sent so far, except those that the test has drained.
+    pub sent: Vec<SentSetUp>,
 }
 
-impl Rig {
-    /// A rig whose list names exchanges 0 to 3 (handles are the numbers), 20 circuits to each, all free.
-    pub fn new(settings: Settings) -> Rig {
-        Rig::seeded(settings, 7)
+impl Harness {
+    /// Starts with a list of exchanges 0 to 3 (ids equal numbers) and 20 free circuits to each.
+    pub fn new(settings: Settings) -> Harness {
+        Harness::with_seed(settings, 7)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Rig {
-        let mut rig = Rig {
+    pub fn with_seed(settings: Settings, seed: u64) -> Harness {
+        let mut harness = Harness {
             controller: Controller::new(settings, seed).unwrap(),
             now: 100 * SEC,
-            next: 0,
+            next_call: 0,
             timers: BTreeSet::new(),
             sent: Vec::new(),
         };
-        let entries = (0..4).map(up).collect();
-        rig.tell(Event::ListUpdated(ListUpdate::Restored, entries));
-        for x in 1..4 {
-            rig.circuits(x, 20.0, 20.0);
+        let entries = (0..4).map(in_service).collect();
+        harness.deliver(Event::ListUpdated(ListUpdate::Restored, entries));
+        for exchange in 1..4 {
+            harness.report_circuits(exchange, 20.0, 20.0);
         }
-        rig
+        harness
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Delivers one event and returns the resulting actions.
+    pub fn deliver(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.handle_event(self.now, event, &mut actions);
         self.timers.extend(actions.iter().filter_map(|a| match a {
@@ -89,40 +104,44 @@
         }));
         let now = self.now;
         self.sent.extend(actions.iter().filter_map(|a| match a {
-            Action::SendSetUp { call, exchange, .. } => Some((now, *call, *exchange)),
+            Action::SendSetUp { call, exchange, .. } => {
+                Some(SentSetUp { at: now, call: *call, exchange: *exchange })
+            }
             _ => None,
         }));
         actions
     }
 
-    /// Lets time pass; timers come when they are due.
-    pub fn wait(&mut self, time: Nanos) {
-        let until = self.now + time;
-        while let Some(timer) = self.timers.first().copied().filter(|t| t.0 < until) {
+    /// Advances the clock; timers that become due expire on time.
+    pub fn advance(&mut self, span: Nanos) {
+        let until = self.now + span;
+        while let Some(timer) = self.timers.first().copied().filter(|(due, _)| *due < until) {
             self.timers.remove(&timer);
             self.now = self.now.max(timer.0);
-            self.tell(Event::TimerExpired(timer.1));
+            self.deliver(Event::TimerExpired(timer.1));
         }
         self.now = until;
     }
 
-    /// The agent stands still: nothing comes until it wakes.
-    pub fn stand_still(&mut self, time: Nanos) {
-        self.now += time;
+    /// Advances the clock without delivering timers, as if the process were paused.
+    pub fn pause_process(&mut self, span: Nanos) {
+        self.now += span;
     }
 
-    pub fn circuits(&mut self, exchange: ExchangeId, free: f64, size: f64) -> Vec<Action> {
+    /// Delivers a report on the trunk group to an exchange.
+    pub fn report_circuits(&mut self, exchange: ExchangeId, free: f64, size: f64) -> Vec<Action> {
         let report =
             LoadReport { free_circuits: Some(free), group_size: Some(size), ..LoadReport::default() };
-        self.tell(Event::LoadReported { exchange, answered: true, elapsed: 0, report })
+        self.deliver(Event::LoadReported { exchange, answered: true, elapsed: 0, report })
     }
 
-    pub fn fresh(&mut self, destination: u32) -> NewCall {
-        self.next += 1;
+    /// A call of class 0 from a new caller.
+    pub fn new_call(&mut self, destination: u32) -> NewCall {
+        self.next_call += 1;
         NewCall {
-            call: self.next,
+            call: self.next_call,
             class: 0,
-            dialled: Some(1000 + self.next),
+            dialled: Some(1000 + self.next_call),
             deadline: self.now + 3 * SEC,
             destination,
             width: 1,
@@ -132,59 +151,61 @@
         }
     }
 
-    pub fn offer(&mut self, call: NewCall) -> Vec<Action> {
-        self.tell(Event::CallOffered(call))
+    pub fn offer_call(&mut self, call: NewCall) -> Vec<Action> {
+        self.deliver(Event::CallOffered(call))
     }
 
-    /// A call to `destination` in class 0.
+    /// Offers a new call of class 0 to `destination`.
     pub fn dial(&mut self, destination: u32) -> (CallId, Vec<Action>) {
-        let call = self.fresh(destination);
-        (call.call, self.offer(call))
+        let call = self.new_call(destination);
+        (call.call, self.offer_call(call))
     }
 
-    pub fn stands(&mut self, call: CallId, attempt: u32, took: Nanos) -> Vec<Action> {
-        self.tell(Event::CallStands { call, attempt, elapsed: took })
+    pub fn call_stands(&mut self, call: CallId, attempt: u32, elapsed: Nanos) -> Vec<Action> {
+        self.deliver(Event::CallStands { call, attempt, elapsed })
     }
 
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         call: CallId,
         attempt: u32,
-        to: ExchangeId,
-        how: (Outcome, Cause),
+        exchange: ExchangeId,
+        (outcome, cause): (Outcome, Cause),
     ) -> Vec<Action> {
-        self.tell(Event::AttemptEnded {
+        self.deliver(Event::AttemptEnded {
             call,
             attempt,
-            exchange: to,
-            outcome: how.0,
-            cause: how.1,
+            exchange,
+            outcome,
+            cause,
             elapsed: 100 * MS,
-            call_over: how.0 == Outcome::Completed,
+            call_over: outcome == Outcome::Completed,
             report: LoadReport::default(),
         })
     }
 
-    /// The standing call ends, and the group is free again.
-    pub fn completed(&mut self, call: CallId, to: ExchangeId) {
-        self.ended(call, 0, to, (Outcome::Completed, Cause::Untold));
-        self.circuits(to, 20.0, 20.0);
+    /// The call that stands ends, and all circuits of the group are free again.
+    pub fn call_completed(&mut self, call: CallId, exchange: ExchangeId) {
+        self.attempt_ended(call, 0, exchange, (Outcome::Completed, Cause::Untold));
+        self.report_circuits(exchange, 20.0, 20.0);
     }
 
-    /// A call to `destination` that stands after `took` and ends at once; leaves the route with that round trip.
-    pub fn round_trip(&mut self, destination: u32, took: Nanos) {
+    /// Leaves a round trip of `duration` on the route: a call that stands after it and ends at once.
+    pub fn complete_round_trip(&mut self, destination: u32, duration: Nanos) {
         let (call, actions) = self.dial(destination);
         assert_eq!(sent_to(&actions), Some(destination), "the route is open");
-        self.wait(took);
-        self.stands(call, 0, took);
-        self.completed(call, destination);
+        self.advance(duration);
+        self.call_stands(call, 0, duration);
+        self.call_completed(call, destination);
     }
 }
 
-pub fn up(number: u32) -> Entry {
+/// List entry of an exchange in service whose id equals its number.
+pub fn in_service(number: u32) -> Entry {
     Entry { exchange: number, number, zone: 0, since: None, standing: ExchangeState::Up }
 }
 
+/// The exchange of the first set-up among `actions`.
 pub fn sent_to(actions: &[Action]) -> Option<ExchangeId> {
     actions.iter().find_map(|a| match a {
         Action::SendSetUp { exchange, .. } => Some(*exchange),
@@ -192,7 +213,8 @@
     })
 }
 
-pub fn answers(actions: &[Action], call: CallId) -> usize {
-    let of = |a: &&Action| matches!(a, Action::Refuse { call: c, .. } | Action::Fail(c) if *c == call);
-    actions.iter().filter(of).count()
+/// Number of final answers to a call among `actions`.
+pub fn final_answers(actions: &[Action], call: CallId) -> usize {
+    let is_answer = |a: &&Action| matches!(a, Action::Refuse { call: c, .. } | Action::Fail(c) if *c == call);
+    actions.iter().filter(is_answer).count()
 }
