--- a/dillhold/src/call/attempts.rs
+++ b/dillhold/src/call/attempts.rs
@@ -1,28 +1,33 @@
-//! Attempts: sent, lost with their connections, given up, and how they ended.
+//! Attempts: sending and cancelling them, and handling their ends, including lost connections.
 
 use pitchgw::interface::{CallId, Cause, Event, ExchangeId, ExchangeState, LoadReport, Nanos, Outcome};
 
-use super::{AttemptProgress, Call, Calls, Command, Deadline, ExchangeRequest, Out};
+use super::{Attempt, AttemptProgress, Call, Calls, Command, Deadline, ExchangeRequest};
 
 impl Calls {
-    /// The attempt that is out for a call, if it is at this exchange. Exchanges name the call and not which of
-    /// its attempts they speak of: by the release wait, or by its final response, an earlier attempt at the same
-    /// exchange has had its last word before the next one is sent.
-    pub(super) fn out_at(&self, id: u64, exchange: ExchangeId) -> Option<Out> {
-        self.table.get(&id)?.out.filter(|o| self.speaks_for(exchange, o.exchange))
+    /// The pending attempt of a call, if it was sent to this exchange. Messages of an exchange name the call
+    /// but not the attempt. They can be attributed to the pending one, because the release wait or a final
+    /// response ensures that an earlier attempt at the same exchange is over before the next one is sent.
+    pub(super) fn pending_attempt_at(&self, id: u64, exchange: ExchangeId) -> Option<Attempt> {
+        self.calls_by_id
+            .get(&id)?
+            .pending_attempt
+            .filter(|attempt| self.is_same_endpoint(exchange, attempt.exchange))
     }
 
-    /// Whether what comes from one machine's connection may be another's word. Where a machine has the address of
-    /// one that has gone, the link to the old one ends at the new one until the journal tells, and no connection
-    /// owns a call: a release heard there was once dropped, and its call left standing.
-    pub(super) fn speaks_for(&self, heard: ExchangeId, exchange: ExchangeId) -> bool {
+    /// Whether messages received from `sender` may come from `exchange`: both are the same machine or have
+    /// the same address. When a machine takes over the address of one that is gone, the link to the old one
+    /// reaches the new one until the journal reports the change, and calls are not bound to a connection.
+    /// Without this check, a release received on the old link was dropped and its call left standing.
+    pub(super) fn is_same_endpoint(&self, sender: ExchangeId, exchange: ExchangeId) -> bool {
         let address = |id| self.directory.machine(id).map(|m| m.address);
-        heard == exchange || address(heard).is_some_and(|a| address(exchange) == Some(a))
+        sender == exchange || address(sender).is_some_and(|a| address(exchange) == Some(a))
     }
 
-    /// The connection to an exchange is gone. `unsent` are the attempts whose set-up never left. One that is still
-    /// to be carried out has not left either: taken for cut it was once written to the next connection all the same,
-    /// and the call sent again beside it.
+    /// Ends the pending attempts at an exchange whose connection was lost. `unsent` lists those whose set-up
+    /// was not sent, by call id and number of the attempt. Set-ups still in the command queue are removed and
+    /// count as unsent too: otherwise the attempt would count as cut and the call would be sent again, while
+    /// the queued set-up is written to the next connection.
     pub fn exchange_disconnected(&mut self, now: Nanos, exchange: ExchangeId, unsent: &[(u64, u32)]) {
         let mut unsent = unsent.to_vec();
         self.commands.retain(|command| match command {
@@ -34,108 +39,121 @@
             }
             _ => true,
         });
-        let here = |c: &Call| c.out.filter(|o| o.exchange == exchange);
-        let out = self.table.iter().filter_map(|(id, c)| here(c).map(|o| (*id, o)));
-        // In the order of ids: the table's own order differs from run to run.
-        let mut out: Vec<_> = out.collect();
-        out.sort_unstable_by_key(|(id, _)| *id);
-        for (id, out) in out {
-            let came = if unsent.contains(&(id, out.attempt)) {
+        let pending_here = |c: &Call| c.pending_attempt.filter(|a| a.exchange == exchange);
+        let pending = self.calls_by_id.iter().filter_map(|(id, c)| pending_here(c).map(|a| (*id, a)));
+        // Ordered by id, as the iteration order of the table differs between runs.
+        let mut pending: Vec<_> = pending.collect();
+        pending.sort_unstable_by_key(|(id, _)| *id);
+        for (id, attempt) in pending {
+            let progress = if unsent.contains(&(id, attempt.number)) {
                 AttemptProgress::NeverSent
             } else {
                 AttemptProgress::Sent
             };
-            self.attempt_lost(now, id, out.attempt, came);
+            self.attempt_lost(now, id, attempt.number, progress);
         }
     }
 
-    /// An attempt's connection failed it.
-    pub fn attempt_lost(&mut self, now: Nanos, id: u64, attempt: u32, came: AttemptProgress) {
-        let Some(out) = self.table.get(&id).and_then(|c| c.out).filter(|o| o.attempt == attempt) else {
+    /// Ends a pending attempt whose connection failed.
+    pub fn attempt_lost(&mut self, now: Nanos, id: u64, attempt: u32, progress: AttemptProgress) {
+        let Some(pending) =
+            self.calls_by_id.get(&id).and_then(|c| c.pending_attempt).filter(|a| a.number == attempt)
+        else {
             return;
         };
-        let (outcome, name) = match came {
+        let (outcome, counter) = match progress {
             AttemptProgress::NeverSent => (Outcome::Unreachable, "errors attempts never sent"),
             AttemptProgress::Sent => (Outcome::Cut, "errors attempts cut"),
         };
-        self.counters.increment(name);
-        self.ended(now, id, out, (outcome, Cause::Untold, LoadReport::default()));
+        self.counters.increment(counter);
+        self.end_attempt(now, id, pending, (outcome, Cause::Untold, LoadReport::default()));
     }
 
-    /// Whether an attempt is out at an exchange.
+    /// Whether any attempt is pending at an exchange.
     pub fn has_pending_attempts(&self, exchange: ExchangeId) -> bool {
-        self.table.values().any(|c| c.out.is_some_and(|o| o.exchange == exchange))
+        self.calls_by_id.values().any(|c| c.pending_attempt.is_some_and(|a| a.exchange == exchange))
     }
 
-    pub(super) fn send(&mut self, now: Nanos, handle: CallId, to: ExchangeId, timeout: Nanos) {
-        let Some(id) = self.ids.get(&handle).copied() else { return };
+    pub(super) fn send_attempt(&mut self, now: Nanos, handle: CallId, to: ExchangeId, timeout: Nanos) {
+        let Some(id) = self.ids_by_handle.get(&handle).copied() else { return };
         let machine = self.directory.machine(to).map(|m| (m.number, m.standing));
-        let Some(call) = self.table.get_mut(&id) else { return };
-        let attempt = call.attempts;
-        call.attempts += 1;
-        let (number, standing) = machine.unwrap_or((u32::MAX, ExchangeState::Gone));
-        let allowed = call.owed
-            && call.out.is_none()
-            && attempt < self.set.max_attempts
-            && now >= call.not_before
+        let Some(call) = self.calls_by_id.get_mut(&id) else { return };
+        let attempt = call.attempt_count;
+        call.attempt_count += 1;
+        let (exchange_number, standing) = machine.unwrap_or((u32::MAX, ExchangeState::Gone));
+        let is_allowed = call.awaits_answer
+            && call.pending_attempt.is_none()
+            && attempt < self.module_settings.max_attempts
+            && now >= call.next_attempt_at
             && now < call.deadline
             && standing == ExchangeState::Up
-            && Some(number) != self.set.home_exchange
-            && (!call.transit || number == call.destination);
-        if !allowed {
+            && Some(exchange_number) != self.module_settings.home_exchange
+            && (!call.in_transit || exchange_number == call.destination);
+        if !is_allowed {
             self.counters.increment("errors attempts not allowed");
-            return self.later.push_back(Event::AttemptEnded {
+            return self.queued_events.push_back(Event::AttemptEnded {
                 call: handle,
                 attempt,
                 exchange: to,
                 outcome: Outcome::NotSent,
                 cause: Cause::Untold,
                 elapsed: 0,
-                call_over: !call.owed,
+                call_over: !call.awaits_answer,
                 report: LoadReport::default(),
             });
         }
-        tracing::debug!(call = format_args!("{id:016x}"), attempt, exchange = to, "attempt");
-        let until = now.saturating_add(timeout).min(call.deadline);
-        call.out = Some(Out { exchange: to, attempt, sent: now });
-        let say = ExchangeRequest::SetUp {
+        tracing::debug!(call = format_args!("{id:016x}"), attempt, exchange = to, "attempt started");
+        let expires_at = now.saturating_add(timeout).min(call.deadline);
+        call.pending_attempt = Some(Attempt { exchange: to, number: attempt, sent_at: now });
+        let request = ExchangeRequest::SetUp {
             attempt,
-            wait: until - now,
-            class: self.told.classes[call.class].clone().into_bytes(),
-            number: call.number.clone(),
+            timeout: expires_at - now,
+            class: self.settings.classes[call.class].clone().into_bytes(),
+            called_number: call.called_number.clone(),
             description: call.description.clone(),
         };
         self.counters.increment("sent set-ups");
-        self.deadlines.add(until, Deadline::AttemptTimeout(id, handle, attempt));
-        self.request_exchange(to, id, say);
+        self.deadlines.add(expires_at, Deadline::AttemptTimeout(id, handle, attempt));
+        self.request_exchange(to, id, request);
     }
 
-    /// Gives up the attempt that is out, if there is one.
-    pub(super) fn give_up(&mut self, now: Nanos, id: u64, outcome: Outcome) {
-        let Some(out) = self.table.get(&id).and_then(|c| c.out) else { return };
+    /// Cancels the pending attempt of a call, if there is one.
+    pub(super) fn cancel_attempt(&mut self, now: Nanos, id: u64, outcome: Outcome) {
+        let Some(pending) = self.calls_by_id.get(&id).and_then(|c| c.pending_attempt) else { return };
         self.counters.increment("sent set-ups given up");
-        self.request_exchange(out.exchange, id, ExchangeRequest::GiveUp { attempt: out.attempt });
-        self.ended(now, id, out, (outcome, Cause::Untold, LoadReport::default()));
+        self.request_exchange(
+            pending.exchange,
+            id,
+            ExchangeRequest::CancelAttempt { attempt: pending.number },
+        );
+        self.end_attempt(now, id, pending, (outcome, Cause::Untold, LoadReport::default()));
     }
 
-    pub(super) fn ended(&mut self, now: Nanos, id: u64, out: Out, how: (Outcome, Cause, LoadReport)) {
-        let (outcome, cause, report) = how;
-        let (call, attempt, exchange) = (format_args!("{id:016x}"), out.attempt, out.exchange);
+    pub(super) fn end_attempt(
+        &mut self,
+        now: Nanos,
+        id: u64,
+        ended_attempt: Attempt,
+        ending: (Outcome, Cause, LoadReport),
+    ) {
+        let (outcome, cause, report) = ending;
+        let (call, attempt, exchange) =
+            (format_args!("{id:016x}"), ended_attempt.number, ended_attempt.exchange);
         tracing::debug!(call, attempt, exchange, ?outcome, ?cause, "attempt ended");
         self.counters.increment("taken endings");
-        let Some(call) = self.table.get_mut(&id) else { return };
-        call.out = None;
+        let Some(call) = self.calls_by_id.get_mut(&id) else { return };
+        call.pending_attempt = None;
         if matches!(outcome, Outcome::TimedOut | Outcome::Cut | Outcome::CalledOff) {
-            call.not_before = now + self.set.release_wait;
+            call.next_attempt_at = now + self.module_settings.release_wait;
         }
-        self.later.push_back(Event::AttemptEnded {
+        self.queued_events.push_back(Event::AttemptEnded {
             call: call.handle,
-            attempt: out.attempt,
-            exchange: out.exchange,
+            attempt: ended_attempt.number,
+            exchange: ended_attempt.exchange,
             outcome,
             cause,
-            elapsed: now - out.sent,
-            call_over: !call.owed,
+            elapsed: now - ended_attempt.sent_at,
+            call_over: !call.awaits_answer,
             report,
         });
     }
--- a/dillhold/src/call/messages.rs
+++ b/dillhold/src/call/messages.rs
@@ -1,217 +1,218 @@
-//! What passes between the call table and the connections: words that name no wire format. A second protocol
-//! needs a session that speaks these.
+//! Messages between the call table and the connections, independent of any wire format. A further protocol
+//! needs a session that translates to and from these.
 
 use pitchgw::interface::{CallId, Cause, ExchangeId, LoadReport, Nanos, Outcome};
 
-/// A connection from callers. Numbers are never used again.
+/// Identifies a connection from callers. Ids are never reused.
 pub type CallerConnId = u64;
 
-/// A set-up as a caller sends it.
+/// A set-up as sent by a caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SetUp<'a> {
-    /// The call's id.
-    pub id: u64,
+    /// Id of the call.
+    pub call_id: u64,
     /// Name of the class.
     pub class: &'a [u8],
-    /// How long the caller waits.
-    pub wait: Nanos,
+    /// How long the caller waits for a final answer.
+    pub timeout: Nanos,
     /// The number called.
-    pub number: &'a [u8],
-    /// Number of the destination's exchange.
+    pub called_number: &'a [u8],
+    /// Number of the destination exchange.
     pub destination: u32,
-    /// Circuits seized on each group; `None`: as the class has it.
+    /// Circuits seized on each group; `None` uses the width of the class.
     pub width: Option<u32>,
-    /// The advised tandem.
-    pub advised: Option<u32>,
+    /// Number of the tandem that the caller was advised to use.
+    pub advised_tandem: Option<u32>,
     /// Whether the call is in transit here.
-    pub transit: bool,
-    /// Whether it was cut and comes again.
-    pub again: bool,
-    /// The description, byte for byte.
+    pub in_transit: bool,
+    /// Whether the call was cut before and is set up again.
+    pub is_redial: bool,
+    /// The session description, passed on byte for byte.
     pub description: &'a [u8],
 }
 
-/// What callers say.
+/// A request from a caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum FromCaller<'a> {
-    /// A set-up.
+pub enum CallerRequest<'a> {
+    /// A valid set-up.
     SetUp(SetUp<'a>),
-    /// A set-up that lacks what it needs to be served.
-    Unservable(u64),
-    /// A set-up given up, or a call released.
+    /// A set-up with missing or invalid parameters; holds the call id.
+    InvalidSetUp(u64),
+    /// Cancels an open set-up or releases a standing call.
     Release {
-        /// The call.
-        id: u64,
-        /// Why.
+        /// Id of the call.
+        call_id: u64,
+        /// Q.850 cause.
         cause: u8,
     },
 }
 
-/// What exchanges say.
+/// An event reported by an exchange.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum FromExchange<'a> {
-    /// The call stands.
+pub enum ExchangeEvent<'a> {
+    /// The exchange answered: the call stands.
     Answered {
-        /// The call.
-        id: u64,
-        /// The exchange's description.
+        /// Id of the call.
+        call_id: u64,
+        /// The session description of the exchange.
         description: &'a [u8],
     },
-    /// The attempt came to nothing.
-    Ended {
-        /// The call.
-        id: u64,
-        /// How.
+    /// An attempt ended without an answer.
+    AttemptEnded {
+        /// Id of the call.
+        call_id: u64,
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Why.
+        /// Why it ended, where stated.
         cause: Cause,
-        /// The group's state, where it is told.
+        /// State of the trunk group, where stated.
         report: LoadReport,
     },
-    /// A call that stood is over.
+    /// The exchange released a standing call.
     Released {
-        /// The call.
-        id: u64,
-        /// Why.
+        /// Id of the call.
+        call_id: u64,
+        /// Q.850 cause.
         cause: u8,
     },
-    /// The state of the group.
-    Group(LoadReport),
+    /// State of the trunk group towards the exchange.
+    GroupReport(LoadReport),
 }
 
-/// How far an attempt had come when its connection failed.
+/// Whether the set-up of an attempt had been sent when its connection failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptProgress {
-    /// Its set-up never left.
+    /// The set-up was not sent, or not completely.
     NeverSent,
-    /// Its set-up may have arrived.
+    /// The set-up may have arrived.
     Sent,
 }
 
-/// What is to be sent.
+/// A command from the call table to the connections.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// To a caller.
+    /// Send a notification to a caller.
     NotifyCaller {
-        /// The connection meant; `None`: any.
+        /// The caller's connection; `None` for any.
         conn: Option<CallerConnId>,
-        /// The call.
+        /// Id of the call.
         call_id: u64,
-        /// What to say.
+        /// The notification.
         notification: CallerNotification,
     },
-    /// To an exchange.
+    /// Send a request to an exchange.
     RequestExchange {
-        /// Which.
+        /// The exchange.
         to: ExchangeId,
-        /// The call.
+        /// Id of the call.
         call_id: u64,
-        /// What to say.
+        /// The request.
         request: ExchangeRequest,
     },
-    /// What has not left yet for an exchange must not leave any more.
+    /// Withdraw set-ups to this exchange that have not been sent yet.
     WithdrawSetUps(ExchangeId),
-    /// The list of exchanges has changed.
+    /// The list of exchanges has changed: open and close links accordingly.
     UpdateLinks,
-    /// Calls stand on this exchange: it is to be watched while they do.
+    /// The first call stands on this exchange: check its liveness while calls stand there.
     StartLivenessChecks(ExchangeId),
-    /// This machine is gone for good.
+    /// This machine is permanently gone: close its link.
     RemoveExchange(ExchangeId),
 }
 
-/// What callers are told.
+/// A notification to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerNotification {
-    /// The call stands; the exchange's description.
+    /// The call stands; holds the session description of the exchange.
     Answer(Vec<u8>),
-    /// Refused; stay away for so long (0: nothing said).
+    /// The set-up is refused; holds how long the caller is asked to pause (0: no request).
     Refused(Nanos),
-    /// Failed.
+    /// The set-up failed.
     Failed,
-    /// A call that stood is over.
+    /// A standing call was released; holds the Q.850 cause.
     Released(u8),
 }
 
-/// What exchanges are told.
+/// A request to an exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExchangeRequest {
-    /// Set the call up.
+    /// Set up a call.
     SetUp {
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// How long it is waited for.
-        wait: Nanos,
+        /// How long the attempt may take.
+        timeout: Nanos,
         /// Name of the class.
         class: Vec<u8>,
         /// The number called.
-        number: Vec<u8>,
-        /// The description.
+        called_number: Vec<u8>,
+        /// The session description.
         description: Vec<u8>,
     },
-    /// The attempt is given up.
-    GiveUp {
-        /// Number of the attempt.
+    /// Cancel an attempt.
+    CancelAttempt {
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// The call that stands is released.
+    /// Release a call; holds the Q.850 cause.
     Release(u8),
-    /// A call that this program does not know is released, if it stands there.
+    /// Release a call that this process does not know, if it stands there; holds the Q.850 cause.
     ReleaseUnknown(u8),
 }
 
-/// What can be due.
+/// What to do when a deadline expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deadline {
-    /// A timer of the module.
+    /// Deliver a timer requested by the decision module; holds its token.
     ModuleTimer(u64),
-    /// An attempt's time is up.
+    /// Cancel an attempt that is still pending; holds the call's id, its handle and the number of the
+    /// attempt.
     AttemptTimeout(u64, CallId, u32),
-    /// A call's last moment for an answer.
+    /// Fail a call that still awaits its final answer; holds the call's id and handle.
     FinalAnswer(u64, CallId),
-    /// A machine that is gone has had its last words.
+    /// End the calls on a machine that is gone: the window for its own releases has passed.
     ExchangeRemoval(ExchangeId),
-    /// An interval of the measuring is over.
+    /// Close the measurement interval.
     IntervalEnd,
-    /// The ids of calls that ended before are forgotten.
+    /// Discard expired ids of ended calls.
     ForgetEndedCalls,
-    /// Something of the connections'.
+    /// A deadline of the engine.
     Engine(EngineDeadline),
 }
 
-/// What can be due of a connection.
+/// What the engine has to do when a deadline expires. A `u64` is the id of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineDeadline {
-    /// A connection must be up by now.
+    /// Give up a connection that is not established yet.
     ConnectTimeout(u64),
-    /// A message that came half on this connection of an exchange must be whole.
+    /// Close this connection of an exchange if a message on it is still incomplete.
     IncompleteMessage(ExchangeId, u64),
-    /// Something must have come on this connection of an exchange since a set-up was sent there.
+    /// Close this connection of an exchange if nothing was received since a set-up was sent on it.
     SilenceTimeout(ExchangeId, u64),
-    /// An exchange is connected to again.
+    /// Connect to an exchange again.
     Reconnect(ExchangeId),
-    /// An exchange on which calls stand is looked at: whether it still lives.
+    /// Check the liveness of an exchange on which calls stand.
     LivenessCheck(ExchangeId),
-    /// The calls that stand on an exchange are compared with the circuits that it says are in use.
+    /// Compare the calls that stand on an exchange with the circuits it reports in use.
     CompareCircuits {
-        /// Which.
+        /// The exchange.
         exchange: ExchangeId,
-        /// When it could be reached again; calls that stood before are in doubt.
+        /// When it became reachable again; calls set up before this time may have been lost.
         since: Nanos,
     },
-    /// The journal is asked again.
+    /// Poll the journal service.
     PollJournal,
-    /// The journal must have answered on this connection.
+    /// Close this connection to the journal service if its answer is overdue.
     JournalTimeout(u64),
-    /// A connection from callers is looked at: whether it is of use to anybody.
+    /// Check whether a connection from callers is still in use.
     CallerCheck(u64),
-    /// Releases that wait for a caller wait no longer for one that is known to be one.
+    /// Send pending releases on connections that are not confirmed to be a caller's.
     DeliverReleases,
-    /// After the signal to end: callers stop coming.
+    /// Shutdown: stop accepting connections from callers.
     StopListening,
-    /// While leaving: connections from callers on which nothing is left are closed.
+    /// Shutdown: close unused connections from callers.
     CloseUnused,
-    /// A connection whose writing side was closed is closed altogether.
+    /// Close a connection whose writing side has been shut down.
     FinishTimeout(u64),
-    /// After the signal to end: whatever is still open is left.
+    /// Shutdown: exit although set-ups or calls are left.
     ForcedExit,
 }
--- a/dillhold/src/call/mod.rs
+++ b/dillhold/src/call/mod.rs
@@ -1,9 +1,11 @@
-//! Calls: who is owed what. Events of the protocols become the module's [`Event`]s, its [`Action`]s become
-//! commands that name no wire format; a second protocol goes through here too.
+//! The call table: which calls are open, which stand, and who awaits an answer. Protocol messages become
+//! [`Event`]s of the decision module, and its [`Action`]s become [`Command`]s that are independent of any
+//! wire format.
 //!
-//! Nothing is decided here, but the rules that the module cannot see are enforced: one attempt out at a time,
-//! the attempts' cap, the wait after an attempt that may have left something behind, the destinations a call
-//! may go to, and exactly one final answer before the caller gives up.
+//! The decision module chooses routes and answers. The table enforces the rules that the module cannot check:
+//! one pending attempt per call, the maximum number of attempts, the wait after an attempt that may still
+//! hold circuits, the destinations allowed for a call, and exactly one final answer before the caller's
+//! timeout.
 
 mod attempts;
 mod messages;
@@ -24,55 +26,66 @@
 use crate::deadlines::Deadlines;
 use crate::directory::{Bounds, ControllerSettings, Directory, DirectoryUpdate};
 pub use messages::*;
-use recent::{EndedCalls, Numbers};
+use recent::{EndedCalls, NumberHandles};
 pub use standing::GroupState;
 
-/// A caller that would wait for longer than so many of its class's deadlines is not served.
-const MOST_DEADLINES: u64 = 2;
-/// How long after the journal said that a machine is gone its own releases may still come. A machine that
-/// stops after a drain may say nothing and leave its connections open; the journal tells up to 7 s late, and
-/// 8 s after their end its calls have to be released towards their callers.
-const LAST_WORDS: Nanos = 250 * MS;
-/// The call was cut (Q.850 41, temporary failure).
-const CUT: u8 = 41;
+/// Largest timeout accepted in a set-up, as a multiple of the deadline of its class.
+const MAX_TIMEOUT_IN_DEADLINES: u64 = 2;
+/// How long releases of a machine are still accepted after the journal reported it gone. A machine that stops
+/// after a drain may leave its connections open without releasing its calls. The journal reports up to 7 s
+/// late, and the calls have to be released towards their callers within 8 s of their end.
+const GONE_MACHINE_RELEASE_WINDOW: Nanos = 250 * MS;
+/// Q.850 cause 41, temporary failure: the call was cut.
+const CAUSE_TEMPORARY_FAILURE: u8 = 41;
 
+/// An attempt that was sent to an exchange.
 #[derive(Clone, Copy, Debug)]
-struct Out {
+struct Attempt {
     exchange: ExchangeId,
-    attempt: u32,
-    sent: Nanos,
+    /// Number of the attempt within its call, from 0.
+    number: u32,
+    sent_at: Nanos,
 }
 
 #[derive(Debug)]
 struct Call {
+    /// The decision module's handle for the call.
     handle: CallId,
-    /// Where the set-up came from.
-    link: CallerConnId,
-    /// Bytes of what came with it.
-    size: usize,
+    /// The connection that the set-up came on.
+    caller_conn: CallerConnId,
+    /// Bytes of the called number and the description.
+    set_up_bytes: usize,
+    /// Index of the class.
     class: usize,
-    number: Vec<u8>,
-    /// The module's handle for the number.
-    dialled: Option<NumberId>,
+    /// The number called; cleared once the call stands.
+    called_number: Vec<u8>,
+    /// The decision module's handle for the called number.
+    number_handle: Option<NumberId>,
+    /// The caller's session description; cleared once the call stands.
     description: Vec<u8>,
+    /// Number of the destination exchange.
     destination: u32,
-    /// Circuits that it takes on each group.
+    /// Circuits seized on each group.
     width: u32,
-    transit: bool,
+    in_transit: bool,
+    /// When the final answer is due.
     deadline: Nanos,
-    attempts: u32,
-    out: Option<Out>,
-    /// Set once the call stands, with the time.
-    stands: Option<Out>,
-    stood_at: Nanos,
-    /// The caller is owed a final answer.
-    owed: bool,
-    not_before: Nanos,
+    /// Attempts sent so far, including those that were not allowed.
+    attempt_count: u32,
+    pending_attempt: Option<Attempt>,
+    /// The attempt that was answered; set while the call stands.
+    answered_attempt: Option<Attempt>,
+    stands_since: Nanos,
+    /// Whether the caller still awaits a final answer.
+    awaits_answer: bool,
+    /// No attempt may be sent before this time.
+    next_attempt_at: Nanos,
 }
 
 impl Call {
-    fn measured(&self) -> measured::meter::Call {
-        let (class, destination, transit) = (self.class, self.destination, self.transit);
+    /// The call as recorded by the meter.
+    fn metered(&self) -> measured::meter::Call {
+        let (class, destination, transit) = (self.class, self.destination, self.in_transit);
         measured::meter::Call { class, destination, transit }
     }
 }
@@ -84,108 +97,111 @@
 /// The calls of one connection from callers.
 #[derive(Debug, Default)]
 struct ConnectionCalls {
-    /// Set-ups that are owed an answer on it.
-    open: BTreeSet<u64>,
-    /// Calls that stand and were set up on it.
-    standing: usize,
+    /// Ids of the set-ups that await a final answer on it.
+    open_set_ups: BTreeSet<u64>,
+    /// Number of standing calls that were set up on it.
+    standing_calls: usize,
 }
 
-/// The call table with the module.
+/// The call table, with the decision module that it drives.
 pub struct Calls {
-    module: Controller,
-    set: Settings,
-    told: ControllerSettings,
+    decision_module: Controller,
+    module_settings: Settings,
+    settings: ControllerSettings,
     /// The list of exchanges.
     pub directory: Directory,
-    table: HashMap<u64, Call>,
-    ids: HashMap<CallId, u64>,
-    /// The calls of each connection from callers; connections without any are not here.
-    by_connection: HashMap<CallerConnId, ConnectionCalls>,
+    calls_by_id: HashMap<u64, Call>,
+    ids_by_handle: HashMap<CallId, u64>,
+    /// Calls by connection from callers; a connection without calls has no entry.
+    calls_by_connection: HashMap<CallerConnId, ConnectionCalls>,
     ended_calls: EndedCalls,
-    forgetting: bool,
-    numbers: Numbers,
-    /// Counts for the operator, if he has asked for it.
+    /// Whether [`Deadline::ForgetEndedCalls`] is scheduled.
+    forget_scheduled: bool,
+    number_handles: NumberHandles,
+    /// Measures calls and groups, if the operator has enabled it.
     meter: Option<Meter>,
-    /// Closed intervals that were not fetched yet.
+    /// Closed measurement intervals that have not been fetched yet.
     pub intervals: VecDeque<Interval>,
-    next_call: CallId,
-    open: usize,
-    /// Calls that stand, by exchange; exchanges without any are not here.
-    standing_at: HashMap<ExchangeId, usize>,
-    /// After the signal to end: every set-up has its final answer by then.
+    next_handle: CallId,
+    /// Number of set-ups that await a final answer.
+    open_set_ups: usize,
+    /// Number of standing calls by exchange; an exchange without any has no entry.
+    standing_calls: HashMap<ExchangeId, usize>,
+    /// Set during shutdown: every set-up has its final answer by this time.
     answer_by: Option<Nanos>,
-    /// New set-ups are refused, for the process leaves.
-    refusing: bool,
-    /// The states of groups as exchanges first told them since their connections came up.
-    groups: HashMap<ExchangeId, GroupState>,
-    /// Bytes of the set-ups that are owed an answer.
-    held: usize,
+    /// Whether new set-ups are refused because the process is shutting down.
+    refuses_set_ups: bool,
+    /// The first group state that each exchange reported since its connection was established.
+    group_states: HashMap<ExchangeId, GroupState>,
+    /// Bytes of the set-ups that await a final answer.
+    open_bytes: usize,
     bounds: Bounds,
-    later: VecDeque<Event>,
-    /// All deadlines of the program.
+    /// Events for the decision module that result from its own actions.
+    queued_events: VecDeque<Event>,
+    /// All deadlines of the process.
     pub deadlines: Deadlines<Deadline>,
-    /// What is to be sent, in order.
+    /// Commands to be carried out, in order.
     pub commands: VecDeque<Command>,
-    /// All counts of the program.
+    /// All counters of the process.
     pub counters: Counters,
 }
 
 impl Calls {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(
-        told: ControllerSettings,
+        settings: ControllerSettings,
         bounds: Bounds,
         directory: Directory,
     ) -> Result<Calls, SettingsError> {
-        let longest = told.module.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest_deadline = settings.module.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         Ok(Calls {
-            module: Controller::new(told.module.clone(), told.seed)?,
-            set: told.module.clone(),
-            told,
+            decision_module: Controller::new(settings.module.clone(), settings.seed)?,
+            module_settings: settings.module.clone(),
+            settings,
             directory,
-            table: HashMap::new(),
-            ids: HashMap::new(),
-            by_connection: HashMap::new(),
+            calls_by_id: HashMap::new(),
+            ids_by_handle: HashMap::new(),
+            calls_by_connection: HashMap::new(),
             ended_calls: EndedCalls::new(bounds.max_standing_calls),
-            forgetting: false,
-            // A caller that dials again does so within the longest deadline.
-            numbers: Numbers::new(longest, bounds.max_standing_calls),
+            forget_scheduled: false,
+            // A caller that redials does so within the longest deadline.
+            number_handles: NumberHandles::new(longest_deadline, bounds.max_standing_calls),
             meter: None,
             intervals: VecDeque::new(),
-            next_call: 0,
-            open: 0,
-            standing_at: HashMap::new(),
+            next_handle: 0,
+            open_set_ups: 0,
+            standing_calls: HashMap::new(),
             answer_by: None,
-            refusing: false,
-            groups: HashMap::new(),
-            held: 0,
+            refuses_set_ups: false,
+            group_states: HashMap::new(),
+            open_bytes: 0,
             bounds,
-            later: VecDeque::new(),
+            queued_events: VecDeque::new(),
             deadlines: Deadlines::default(),
             commands: VecDeque::new(),
             counters: Counters::default(),
         })
     }
 
-    /// Counts calls and groups from now on, interval by interval.
+    /// Starts measuring calls and groups, interval by interval.
     pub fn start_measuring(&mut self, now: Nanos, calendar: Calendar) {
-        let widths = self.set.classes.iter().map(|c| c.width);
+        let widths = self.module_settings.classes.iter().map(|c| c.width);
         let class = |(name, width): (&String, u32)| measured::meter::Class { name: name.clone(), width };
-        let classes = self.told.classes.iter().zip(widths).map(class).collect();
-        let persists = self.set.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let home = self.set.home_exchange.unwrap_or(self.set.controller_index);
-        let meter = Meter::new(home, classes, calendar, unix_ms(persists), unix_ms(now));
+        let classes = self.settings.classes.iter().zip(widths).map(class).collect();
+        let longest_deadline = self.module_settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let home = self.module_settings.home_exchange.unwrap_or(self.module_settings.controller_index);
+        let meter = Meter::new(home, classes, calendar, unix_ms(longest_deadline), unix_ms(now));
         self.deadlines.add(meter.ends() as Nanos * MS, Deadline::IntervalEnd);
         self.meter = Some(meter);
     }
 
-    /// Closes the intervals that are over; `running`: the present one too, for the program ends.
-    pub fn close_intervals(&mut self, now: Nanos, running: bool) {
+    /// Closes the intervals that have ended. With `stop`, also cuts the current one and stops measuring.
+    pub fn close_intervals(&mut self, now: Nanos, stop: bool) {
         let Some(meter) = &mut self.meter else { return };
         while let Some(interval) = meter.roll(unix_ms(now)) {
             self.intervals.push_back(interval);
         }
-        if running {
+        if stop {
             self.intervals.extend(meter.cut(unix_ms(now)));
             self.meter = None;
         } else {
@@ -193,443 +209,483 @@
         }
     }
 
-    /// Whether these settings can take the place of the present ones while calls are open and stand: they are of
-    /// the same exchange, in the same layout, with the same classes.
-    pub fn can_reconfigure(&self, told: &ControllerSettings) -> bool {
-        let same = |s: &Settings| (s.home_exchange, s.controller_index, s.zone, s.topology);
-        same(&told.module) == same(&self.told.module) && told.classes == self.told.classes
+    /// Whether the settings can be replaced by these while calls are open or stand: the exchange, the layout
+    /// of the network and the classes have to be the same.
+    pub fn can_reconfigure(&self, settings: &ControllerSettings) -> bool {
+        let identity = |s: &Settings| (s.home_exchange, s.controller_index, s.zone, s.topology);
+        identity(&settings.module) == identity(&self.settings.module)
+            && settings.classes == self.settings.classes
     }
 
-    /// Goes on with other settings, which [`Calls::can_reconfigure`] has let through.
-    pub fn reconfigure(&mut self, told: ControllerSettings, bounds: Bounds, settings: &serde_json::Value) {
-        self.module.reconfigure(told.module.clone());
-        self.directory.update_zones(settings);
-        self.ended_calls.bound(bounds.max_standing_calls);
-        (self.set, self.told, self.bounds) = (told.module.clone(), told, bounds);
+    /// Replaces the settings. [`Calls::can_reconfigure`] must have accepted them.
+    pub fn reconfigure(
+        &mut self,
+        settings: ControllerSettings,
+        bounds: Bounds,
+        raw_settings: &serde_json::Value,
+    ) {
+        self.decision_module.reconfigure(settings.module.clone());
+        self.directory.update_zones(raw_settings);
+        self.ended_calls.set_max_calls(bounds.max_standing_calls);
+        (self.module_settings, self.settings, self.bounds) = (settings.module.clone(), settings, bounds);
     }
 
-    /// After the signal to end: every set-up, open or new, has its final answer by this time.
+    /// Shutdown: every set-up, open or new, has its final answer by this time.
     pub fn answer_all_by(&mut self, answer_by: Nanos) {
         self.answer_by = Some(answer_by);
-        let guard = answer_by.saturating_sub(self.set.tick / 2);
+        let fail_at = answer_by.saturating_sub(self.module_settings.tick / 2);
         let mut open: Vec<(u64, CallId)> = Vec::new();
-        for (id, call) in self.table.iter_mut().filter(|(_, c)| c.owed && c.deadline > answer_by) {
+        for (id, call) in
+            self.calls_by_id.iter_mut().filter(|(_, c)| c.awaits_answer && c.deadline > answer_by)
+        {
             call.deadline = answer_by;
             open.push((*id, call.handle));
         }
         open.sort_unstable();
         for (id, handle) in open {
-            self.deadlines.add(guard, Deadline::FinalAnswer(id, handle));
+            self.deadlines.add(fail_at, Deadline::FinalAnswer(id, handle));
         }
     }
 
-    /// While the process leaves, new set-ups are refused at once.
+    /// Shutdown: refuses new set-ups immediately from now on.
     pub fn refuse_new_set_ups(&mut self) {
-        self.refusing = true;
+        self.refuses_set_ups = true;
     }
 
-    /// What the settings say to the connections.
+    /// The settings in force.
     pub fn settings(&self) -> &ControllerSettings {
-        &self.told
+        &self.settings
     }
 
-    /// Set-ups that are owed an answer.
+    /// Number of set-ups that await a final answer.
     pub fn open_set_ups(&self) -> usize {
-        self.open
+        self.open_set_ups
     }
 
-    /// Whether a set-up that came on this connection is owed an answer.
-    pub fn has_open_set_ups(&self, link: CallerConnId) -> bool {
-        self.by_connection.get(&link).is_some_and(|b| !b.open.is_empty())
+    /// Whether a set-up that came on this connection awaits a final answer.
+    pub fn has_open_set_ups(&self, conn: CallerConnId) -> bool {
+        self.calls_by_connection.get(&conn).is_some_and(|calls| !calls.open_set_ups.is_empty())
     }
 
     /// Whether a call of this connection is open or stands.
-    pub fn has_calls(&self, link: CallerConnId) -> bool {
-        self.by_connection.contains_key(&link)
+    pub fn has_calls(&self, conn: CallerConnId) -> bool {
+        self.calls_by_connection.contains_key(&conn)
     }
 
-    fn update_connection(&mut self, link: CallerConnId, change: impl FnOnce(&mut ConnectionCalls)) {
-        let calls = self.by_connection.entry(link).or_default();
-        change(calls);
-        if calls.open.is_empty() && calls.standing == 0 {
-            self.by_connection.remove(&link);
+    fn update_connection(&mut self, conn: CallerConnId, update: impl FnOnce(&mut ConnectionCalls)) {
+        let calls = self.calls_by_connection.entry(conn).or_default();
+        update(calls);
+        if calls.open_set_ups.is_empty() && calls.standing_calls == 0 {
+            self.calls_by_connection.remove(&conn);
         }
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // From callers
-    // -----------------------------------------------------------------------------------------------------
-
-    /// Takes in what a caller said on a connection. False: a set-up that is not one to be served, or a release
-    /// of a call that is not known.
-    pub fn from_caller(&mut self, now: Nanos, link: CallerConnId, said: FromCaller<'_>) -> bool {
-        match said {
-            FromCaller::SetUp(set_up) => self.set_up(now, link, &set_up),
-            FromCaller::Unservable(id) => {
+    /// Handles a request from a caller. Returns false for a set-up that is not served and for the release of
+    /// an unknown call.
+    pub fn handle_caller_request(
+        &mut self,
+        now: Nanos,
+        conn: CallerConnId,
+        request: CallerRequest<'_>,
+    ) -> bool {
+        match request {
+            CallerRequest::SetUp(set_up) => self.handle_set_up(now, conn, &set_up),
+            CallerRequest::InvalidSetUp(id) => {
                 self.counters.increment("taken set-ups");
-                if !self.twice(now, link, id) {
-                    self.unservable(link, id);
+                if !self.reject_duplicate_id(now, conn, id) {
+                    self.reject_invalid_set_up(conn, id);
                 }
                 false
             }
-            FromCaller::Release { id, cause } => self.released_by_caller(now, id, cause),
+            CallerRequest::Release { call_id, cause } => self.handle_caller_release(now, call_id, cause),
         }
     }
 
-    fn unservable(&mut self, link: CallerConnId, id: u64) {
-        tracing::info!(call = format_args!("{id:016x}"), conn = link, "failed: set-up cannot be served");
+    fn reject_invalid_set_up(&mut self, conn: CallerConnId, id: u64) {
+        tracing::info!(
+            call = format_args!("{id:016x}"),
+            conn,
+            "set-up failed: invalid parameters or call id"
+        );
         self.counters.increment("taken set-ups unservable");
-        self.notify_caller(Some(link), id, CallerNotification::Failed);
+        self.notify_caller(Some(conn), id, CallerNotification::Failed);
     }
 
-    /// Answers a set-up with the id of a call that is open or stands. On the call's own connection nobody can
-    /// tell which of the two an answer would be for: the call is ended, and that one answer serves both.
-    fn twice(&mut self, now: Nanos, link: CallerConnId, id: u64) -> bool {
-        let Some(known) = self.table.get(&id).map(|c| (c.link == link, c.owed, c.stands)) else {
+    /// Fails a set-up with the id of a call that is open or stands. If it came on the connection of that
+    /// call, the caller cannot tell which of the two an answer is for: the call is ended, and one answer
+    /// serves both.
+    fn reject_duplicate_id(&mut self, now: Nanos, conn: CallerConnId, id: u64) -> bool {
+        let Some(known) =
+            self.calls_by_id.get(&id).map(|c| (c.caller_conn == conn, c.awaits_answer, c.answered_attempt))
+        else {
             return false;
         };
         self.counters.increment("taken set-ups twice");
-        self.notify_caller(Some(link), id, CallerNotification::Failed);
+        self.notify_caller(Some(conn), id, CallerNotification::Failed);
         match known {
-            (true, true, _) => self.abandon(now, id, true),
-            (true, false, Some(stood)) => {
-                self.request_exchange(stood.exchange, id, ExchangeRequest::Release(16));
-                self.over_standing(now, id, Outcome::CalledOff);
+            (true, true, _) => self.abandon_call(now, id, true),
+            (true, false, Some(attempt)) => {
+                self.request_exchange(attempt.exchange, id, ExchangeRequest::Release(16));
+                self.end_standing_call(now, id, Outcome::CalledOff);
             }
             _ => {}
         }
         true
     }
 
-    fn set_up(&mut self, now: Nanos, link: CallerConnId, s: &SetUp<'_>) -> bool {
+    fn handle_set_up(&mut self, now: Nanos, conn: CallerConnId, set_up: &SetUp<'_>) -> bool {
         self.counters.increment("taken set-ups");
-        if self.twice(now, link, s.id) {
+        if self.reject_duplicate_id(now, conn, set_up.call_id) {
             return false;
         }
-        let class = self.told.classes.iter().position(|c| c.as_bytes() == s.class);
-        let fits = |c: &usize| s.wait <= MOST_DEADLINES * self.set.classes[*c].deadline;
-        // A late word on a call that had this id would be taken for one on the new call.
-        let (Some(class), false) = (class.filter(fits), self.ended_calls.answered(s.id)) else {
-            self.unservable(link, s.id);
+        let class = self.settings.classes.iter().position(|c| c.as_bytes() == set_up.class);
+        let accepts_timeout = |class: &usize| {
+            set_up.timeout <= MAX_TIMEOUT_IN_DEADLINES * self.module_settings.classes[*class].deadline
+        };
+        // The id of an answered call is not reused: a late message for that call would be attributed to the
+        // new one.
+        let (Some(class), false) =
+            (class.filter(accepts_timeout), self.ended_calls.had_final_answer(set_up.call_id))
+        else {
+            self.reject_invalid_set_up(conn, set_up.call_id);
             return false;
         };
-        let deadline = self.answer_by.map_or(now + s.wait, |by| by.min(now + s.wait));
-        if self.refusing || deadline <= now + self.set.tick {
+        let deadline = self.answer_by.map_or(now + set_up.timeout, |by| by.min(now + set_up.timeout));
+        if self.refuses_set_ups || deadline <= now + self.module_settings.tick {
             self.counters.increment("answered refused while leaving");
             self.notify_caller(
-                Some(link),
-                s.id,
-                CallerNotification::Refused(self.set.max_retry_after.unwrap_or(0)),
+                Some(conn),
+                set_up.call_id,
+                CallerNotification::Refused(self.module_settings.max_retry_after.unwrap_or(0)),
             );
             return true;
         }
-        let size = s.number.len() + s.description.len();
-        let standing = self.table.len() - self.open;
-        let room = self.open < self.told.max_open
-            && self.held + size <= self.bounds.max_open_bytes
+        let set_up_bytes = set_up.called_number.len() + set_up.description.len();
+        let standing = self.calls_by_id.len() - self.open_set_ups;
+        let has_capacity = self.open_set_ups < self.settings.max_open_set_ups
+            && self.open_bytes + set_up_bytes <= self.bounds.max_open_bytes
             && standing < self.bounds.max_standing_calls;
-        if !room {
-            let (open, held) = (self.open, self.held);
-            tracing::info!(call = format_args!("{:016x}", s.id), open, held, standing, "refused: no room");
+        if !has_capacity {
+            let (open, held) = (self.open_set_ups, self.open_bytes);
+            tracing::info!(
+                call = format_args!("{:016x}", set_up.call_id),
+                open,
+                held,
+                standing,
+                "set-up refused: call table is full"
+            );
             self.counters.increment("answered refused for want of room");
             self.notify_caller(
-                Some(link),
-                s.id,
-                CallerNotification::Refused(self.set.max_retry_after.unwrap_or(0)),
+                Some(conn),
+                set_up.call_id,
+                CallerNotification::Refused(self.module_settings.max_retry_after.unwrap_or(0)),
             );
             return true;
         }
-        let handle = self.next_call;
-        self.next_call += 1;
-        let width = s.width.unwrap_or(self.set.classes[class].width);
-        self.ids.insert(handle, s.id);
-        self.table.insert(
-            s.id,
+        let handle = self.next_handle;
+        self.next_handle += 1;
+        let width = set_up.width.unwrap_or(self.module_settings.classes[class].width);
+        self.ids_by_handle.insert(handle, set_up.call_id);
+        self.calls_by_id.insert(
+            set_up.call_id,
             Call {
                 handle,
-                link,
-                size,
+                caller_conn: conn,
+                set_up_bytes,
                 class,
-                number: s.number.to_vec(),
-                dialled: None,
-                description: s.description.to_vec(),
-                destination: s.destination,
+                called_number: set_up.called_number.to_vec(),
+                number_handle: None,
+                description: set_up.description.to_vec(),
+                destination: set_up.destination,
                 width,
-                transit: s.transit,
+                in_transit: set_up.in_transit,
                 deadline,
-                attempts: 0,
-                out: None,
-                stands: None,
-                stood_at: now,
-                owed: true,
-                not_before: now,
+                attempt_count: 0,
+                pending_attempt: None,
+                answered_attempt: None,
+                stands_since: now,
+                awaits_answer: true,
+                next_attempt_at: now,
             },
         );
-        (self.open, self.held) = (self.open + 1, self.held + size);
-        self.update_connection(link, |b| {
-            b.open.insert(s.id);
+        (self.open_set_ups, self.open_bytes) = (self.open_set_ups + 1, self.open_bytes + set_up_bytes);
+        self.update_connection(conn, |calls| {
+            calls.open_set_ups.insert(set_up.call_id);
         });
-        // The module answers two ticks before the caller gives up. A call that has no answer by half a tick
-        // before is failed here, whatever keeps the module from it; no sooner, or it takes the module's place.
-        self.deadlines.add(deadline.saturating_sub(self.set.tick / 2), Deadline::FinalAnswer(s.id, handle));
-        let dialled = Some(s.number).filter(|n| !n.is_empty()).map(|n| self.numbers.handle(now, n));
-        if let (Some(meter), Some(call)) = (&mut self.meter, self.table.get_mut(&s.id)) {
-            call.dialled = dialled;
-            meter.offered(unix_ms(now), call.measured(), dialled, s.again);
+        // The decision module answers two ticks before the deadline. If there is no answer half a tick before
+        // it, the call is failed here whatever the reason; any earlier would pre-empt the module.
+        self.deadlines.add(
+            deadline.saturating_sub(self.module_settings.tick / 2),
+            Deadline::FinalAnswer(set_up.call_id, handle),
+        );
+        let dialled =
+            Some(set_up.called_number).filter(|n| !n.is_empty()).map(|n| self.number_handles.handle(now, n));
+        if let (Some(meter), Some(call)) = (&mut self.meter, self.calls_by_id.get_mut(&set_up.call_id)) {
+            call.number_handle = dialled;
+            meter.offered(unix_ms(now), call.metered(), dialled, set_up.is_redial);
         }
-        self.tell(
+        self.dispatch_event(
             now,
             Event::CallOffered(NewCall {
                 call: handle,
                 class,
                 dialled,
                 deadline,
-                destination: s.destination,
+                destination: set_up.destination,
                 width,
-                advised_route: s.advised,
-                in_transit: s.transit,
-                after_cut: s.again,
+                advised_route: set_up.advised_tandem,
+                in_transit: set_up.in_transit,
+                after_cut: set_up.is_redial,
             }),
         );
         true
     }
 
-    /// A caller gives its set-up up, or releases a call that stands.
-    fn released_by_caller(&mut self, now: Nanos, id: u64, cause: u8) -> bool {
-        let Some(call) = self.table.get(&id) else {
-            // A call of before this program started, which some exchange still holds. What only crosses the
-            // end of a call here is known and goes nowhere.
-            let unknown = !self.ended_calls.knows(id);
+    /// Cancels an open set-up or releases a standing call at the caller's request.
+    fn handle_caller_release(&mut self, now: Nanos, id: u64, cause: u8) -> bool {
+        let Some(call) = self.calls_by_id.get(&id) else {
+            // An unknown id may belong to a call from before this process started that still stands at some
+            // exchange. The id of a call that ended recently only crossed its end and is ignored.
+            let unknown = !self.ended_calls.contains(id);
             if unknown {
                 self.counters.increment("taken releases of unknown calls");
-                self.remember(now, id, true);
-                let to: Vec<ExchangeId> = self.directory.machines().map(|(id, _)| id).collect();
-                to.into_iter()
+                self.remember_ended_call(now, id, true);
+                let exchanges: Vec<ExchangeId> = self.directory.machines().map(|(id, _)| id).collect();
+                exchanges
+                    .into_iter()
                     .for_each(|to| self.request_exchange(to, id, ExchangeRequest::ReleaseUnknown(cause)));
             }
             return !unknown;
         };
-        if call.owed {
+        if call.awaits_answer {
             self.counters.increment("taken set-ups given up");
-            self.abandon(now, id, true);
-        } else if let Some(stood) = call.stands {
+            self.abandon_call(now, id, true);
+        } else if let Some(attempt) = call.answered_attempt {
             self.counters.increment("taken releases from callers");
-            self.request_exchange(stood.exchange, id, ExchangeRequest::Release(cause));
-            self.over_standing(now, id, Outcome::CalledOff);
+            self.request_exchange(attempt.exchange, id, ExchangeRequest::Release(cause));
+            self.end_standing_call(now, id, Outcome::CalledOff);
         }
         true
     }
 
-    /// The caller has left, or the answer is given without the module. `for_good`: the id may not come again.
-    fn abandon(&mut self, now: Nanos, id: u64, for_good: bool) {
-        if let Some(handle) = self.answered(id) {
-            self.tell(now, Event::CallerHungUp(handle));
-            self.give_up(now, id, Outcome::CalledOff);
-            self.forget(now, id, for_good);
+    /// Removes an open set-up whose caller is gone or was answered without the decision module. With
+    /// `retire_id`, the id is not accepted again.
+    fn abandon_call(&mut self, now: Nanos, id: u64, retire_id: bool) {
+        if let Some(handle) = self.mark_answered(id) {
+            self.dispatch_event(now, Event::CallerHungUp(handle));
+            self.cancel_attempt(now, id, Outcome::CalledOff);
+            self.remove_call(now, id, retire_id);
         }
     }
 
-    /// A caller's connection has ended: its open set-ups are given up.
-    pub fn caller_disconnected(&mut self, now: Nanos, link: CallerConnId) {
-        let lost = self.by_connection.get(&link).map(|b| b.open.clone());
-        for id in lost.unwrap_or_default() {
+    /// Abandons the open set-ups of a caller's connection that was closed.
+    pub fn caller_disconnected(&mut self, now: Nanos, conn: CallerConnId) {
+        let open_set_ups = self.calls_by_connection.get(&conn).map(|calls| calls.open_set_ups.clone());
+        for id in open_set_ups.unwrap_or_default() {
             self.counters.increment("errors set-ups lost with their caller");
-            // A set-up that crossed the close may come again on another connection.
-            self.abandon(now, id, false);
+            // A set-up that crossed the close may be sent again on another connection.
+            self.abandon_call(now, id, false);
         }
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // From exchanges
-    // -----------------------------------------------------------------------------------------------------
-
-    /// Takes in what an exchange said.
-    pub fn from_exchange(&mut self, now: Nanos, exchange: ExchangeId, said: FromExchange<'_>) {
-        match said {
-            FromExchange::Answered { id, description } => self.answer(now, exchange, id, description),
-            FromExchange::Ended { id, outcome, cause, report } => match self.out_at(id, exchange) {
-                Some(out) => self.ended(now, id, out, (outcome, cause, report)),
-                None => self.counters.increment("taken endings too late"),
-            },
-            FromExchange::Released { id, cause } => self.released(now, exchange, id, cause),
-            FromExchange::Group(report) => {
+    /// Handles an event reported by an exchange.
+    pub fn handle_exchange_event(&mut self, now: Nanos, exchange: ExchangeId, event: ExchangeEvent<'_>) {
+        match event {
+            ExchangeEvent::Answered { call_id, description } => {
+                self.handle_answer(now, exchange, call_id, description)
+            }
+            ExchangeEvent::AttemptEnded { call_id, outcome, cause, report } => {
+                match self.pending_attempt_at(call_id, exchange) {
+                    Some(attempt) => self.end_attempt(now, call_id, attempt, (outcome, cause, report)),
+                    None => self.counters.increment("taken endings too late"),
+                }
+            }
+            ExchangeEvent::Released { call_id, cause } => {
+                self.handle_exchange_release(now, exchange, call_id, cause)
+            }
+            ExchangeEvent::GroupReport(report) => {
                 self.counters.increment("taken group states");
                 let number = self.directory.machine(exchange).map(|m| m.number);
                 if let Some((free, size)) = report.free_circuits.zip(report.group_size) {
                     let in_use = (size - free).max(0.0);
-                    self.groups.entry(exchange).or_insert(GroupState { at: now, in_use });
+                    self.group_states.entry(exchange).or_insert(GroupState { at: now, in_use });
                 }
-                let known = number.zip(report.free_circuits).zip(report.group_size);
-                if let (Some(meter), Some(((number, free), size))) = (&mut self.meter, known) {
+                let measurable = number.zip(report.free_circuits).zip(report.group_size);
+                if let (Some(meter), Some(((number, free), size))) = (&mut self.meter, measurable) {
                     meter.state(unix_ms(now), number, free, size);
                 }
-                self.tell(now, Event::LoadReported { exchange, answered: true, elapsed: 0, report });
+                self.dispatch_event(
+                    now,
+                    Event::LoadReported { exchange, answered: true, elapsed: 0, report },
+                );
             }
         }
     }
 
-    fn answer(&mut self, now: Nanos, exchange: ExchangeId, id: u64, description: &[u8]) {
-        let Some(out) = self.out_at(id, exchange) else {
+    fn handle_answer(&mut self, now: Nanos, exchange: ExchangeId, id: u64, description: &[u8]) {
+        let Some(attempt) = self.pending_attempt_at(id, exchange) else {
             self.counters.increment("taken answers too late");
-            // The answer crossed the end of its attempt: what stands there must not be left standing. But one
-            // more answer where the call stands already would have it released, and one under an id that was
-            // never sent from here is dropped, for nothing stands for it.
-            let call = self.table.get(&id);
-            let copy = call.and_then(|c| c.stands).is_some_and(|s| self.speaks_for(exchange, s.exchange));
-            if !copy && (call.is_some() || self.ended_calls.knows(id)) {
+            // The answer crossed the end of its attempt: the call now stands at the exchange and has to be
+            // released there. Two cases must not be: a duplicate answer, as it would release the standing
+            // call, and an answer with an id that was never sent, as no call stands for it.
+            let call = self.calls_by_id.get(&id);
+            let is_duplicate = call
+                .and_then(|c| c.answered_attempt)
+                .is_some_and(|a| self.is_same_endpoint(exchange, a.exchange));
+            if !is_duplicate && (call.is_some() || self.ended_calls.contains(id)) {
                 self.request_exchange(exchange, id, ExchangeRequest::Release(16));
             }
             return;
         };
         self.counters.increment("taken answers");
-        let Some(call) = self.table.get_mut(&id) else { return };
-        (call.out, call.stands, call.stood_at) = (None, Some(out), now);
+        let Some(call) = self.calls_by_id.get_mut(&id) else { return };
+        (call.pending_attempt, call.answered_attempt, call.stands_since) = (None, Some(attempt), now);
         if let Some(meter) = &mut self.meter {
-            let by = self.directory.machine(out.exchange).map_or(call.destination, |m| m.number);
-            meter.stood(call.measured(), by, call.dialled);
+            let route = self.directory.machine(attempt.exchange).map_or(call.destination, |m| m.number);
+            meter.stood(call.metered(), route, call.number_handle);
         }
-        (call.number, call.description) = (Vec::new(), Vec::new());
-        let (handle, link) = (call.handle, call.link);
-        self.answered(id);
-        self.update_connection(link, |b| b.standing += 1);
-        let standing = self.standing_at.entry(out.exchange).or_default();
-        *standing += 1;
-        if *standing == 1 {
-            self.commands.push_back(Command::StartLivenessChecks(out.exchange));
+        (call.called_number, call.description) = (Vec::new(), Vec::new());
+        let (handle, conn) = (call.handle, call.caller_conn);
+        self.mark_answered(id);
+        self.update_connection(conn, |calls| calls.standing_calls += 1);
+        let standing_calls = self.standing_calls.entry(attempt.exchange).or_default();
+        *standing_calls += 1;
+        if *standing_calls == 1 {
+            self.commands.push_back(Command::StartLivenessChecks(attempt.exchange));
         }
         self.counters.increment("answered stands");
-        self.notify_caller(Some(link), id, CallerNotification::Answer(description.to_vec()));
-        self.tell(now, Event::CallStands { call: handle, attempt: out.attempt, elapsed: now - out.sent });
+        self.notify_caller(Some(conn), id, CallerNotification::Answer(description.to_vec()));
+        self.dispatch_event(
+            now,
+            Event::CallStands { call: handle, attempt: attempt.number, elapsed: now - attempt.sent_at },
+        );
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // From the journal and the deadlines
-    // -----------------------------------------------------------------------------------------------------
-
-    /// Takes in what the journal changed.
-    pub fn apply_directory_update(&mut self, now: Nanos, news: DirectoryUpdate) {
-        for (kind, entries) in news.lists {
+    /// Applies the changes from the journal to routing and links.
+    pub fn apply_directory_update(&mut self, now: Nanos, update: DirectoryUpdate) {
+        for (kind, entries) in update.lists {
             tracing::info!(?kind, ?entries, "list of exchanges");
             self.counters.increment("taken lists");
-            for e in entries.iter().filter(|e| e.standing != ExchangeState::Up) {
-                self.commands.push_back(Command::WithdrawSetUps(e.exchange));
+            for entry in entries.iter().filter(|e| e.standing != ExchangeState::Up) {
+                self.commands.push_back(Command::WithdrawSetUps(entry.exchange));
             }
-            self.tell(now, Event::ListUpdated(kind, entries));
+            self.dispatch_event(now, Event::ListUpdated(kind, entries));
         }
-        for exchange in news.ended_exchanges {
+        for exchange in update.ended_exchanges {
             self.commands.push_back(Command::WithdrawSetUps(exchange));
-            self.deadlines.add(now + LAST_WORDS, Deadline::ExchangeRemoval(exchange));
+            self.deadlines.add(now + GONE_MACHINE_RELEASE_WINDOW, Deadline::ExchangeRemoval(exchange));
         }
         self.commands.push_back(Command::UpdateLinks);
     }
 
-    /// Something is due.
-    pub fn handle_deadline(&mut self, now: Nanos, due: Deadline) {
-        match due {
-            Deadline::ModuleTimer(token) => self.tell(now, Event::TimerExpired(token)),
+    /// Handles a deadline that has expired.
+    pub fn handle_deadline(&mut self, now: Nanos, deadline: Deadline) {
+        match deadline {
+            Deadline::ModuleTimer(token) => self.dispatch_event(now, Event::TimerExpired(token)),
             Deadline::AttemptTimeout(id, handle, attempt) => {
-                let call = self.table.get(&id).filter(|c| c.handle == handle);
-                if call.and_then(|c| c.out).is_some_and(|o| o.attempt == attempt) {
+                let call = self.calls_by_id.get(&id).filter(|c| c.handle == handle);
+                if call.and_then(|c| c.pending_attempt).is_some_and(|pending| pending.number == attempt) {
                     self.counters.increment("errors attempts timed out");
-                    self.give_up(now, id, Outcome::TimedOut);
+                    self.cancel_attempt(now, id, Outcome::TimedOut);
                 }
             }
             Deadline::FinalAnswer(id, handle) => {
-                if self.table.get(&id).is_some_and(|c| c.owed && c.handle == handle) {
+                if self.calls_by_id.get(&id).is_some_and(|c| c.awaits_answer && c.handle == handle) {
                     self.counters.increment("errors answers overdue");
-                    let link = self.table[&id].link;
-                    self.notify_caller(Some(link), id, CallerNotification::Failed);
-                    self.abandon(now, id, true);
+                    let conn = self.calls_by_id[&id].caller_conn;
+                    self.notify_caller(Some(conn), id, CallerNotification::Failed);
+                    self.abandon_call(now, id, true);
                 }
             }
             Deadline::ExchangeRemoval(exchange) => {
                 let machine = self.directory.machine(exchange);
-                let lives = machine.filter(|m| m.standing != ExchangeState::Gone);
-                let before = lives.map_or(Nanos::MAX, |m| m.since.unwrap_or(0));
-                self.exchange_ended(now, exchange, before);
-                if before == Nanos::MAX {
+                // If the machine was restarted, only the calls from before its restart have ended.
+                let restarted = machine.filter(|m| m.standing != ExchangeState::Gone);
+                let sent_before = restarted.map_or(Nanos::MAX, |m| m.since.unwrap_or(0));
+                self.exchange_ended(now, exchange, sent_before);
+                if sent_before == Nanos::MAX {
                     self.commands.push_back(Command::RemoveExchange(exchange));
                 }
             }
             Deadline::IntervalEnd => self.close_intervals(now, false),
             Deadline::ForgetEndedCalls => {
-                self.forgetting = false;
-                self.ended_calls.forget(now);
-                self.remind();
+                self.forget_scheduled = false;
+                self.ended_calls.remove_expired(now);
+                self.schedule_forget();
             }
             Deadline::Engine(_) => {}
         }
     }
 
-    /// Whether nothing is left to be told to the module or to be carried out.
+    /// Whether no event waits for the decision module and no command waits to be carried out.
     pub fn is_idle(&self) -> bool {
-        self.later.is_empty() && self.commands.is_empty()
+        self.queued_events.is_empty() && self.commands.is_empty()
     }
 
-    /// Tells the module what came of its last actions, until nothing more does.
+    /// Dispatches the events that resulted from the decision module's actions, until none is left.
     pub fn dispatch_queued_events(&mut self, now: Nanos) {
-        while let Some(event) = self.later.pop_front() {
-            self.tell(now, event);
+        while let Some(event) = self.queued_events.pop_front() {
+            self.dispatch_event(now, event);
         }
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // The module
-    // -----------------------------------------------------------------------------------------------------
-
-    fn tell(&mut self, now: Nanos, event: Event) {
+    /// Passes an event to the decision module and executes the actions it returns.
+    fn dispatch_event(&mut self, now: Nanos, event: Event) {
         let mut actions = Vec::new();
-        let module = &mut self.module;
-        // A panic in the module costs what the event asked for, not the program; the guard on the final answer
-        // serves a call that is left without one.
+        let module = &mut self.decision_module;
+        // A panic in the decision module loses the actions for this event but does not end the process. A
+        // call left without an answer is failed by its `FinalAnswer` deadline.
         if catch_unwind(AssertUnwindSafe(|| module.handle_event(now, event, &mut actions))).is_err() {
             self.counters.increment("errors panics in the module");
         }
         for action in actions {
-            self.act(now, action);
+            self.execute(now, action);
         }
     }
 
-    fn act(&mut self, now: Nanos, action: Action) {
+    fn execute(&mut self, now: Nanos, action: Action) {
         match action {
-            Action::SendSetUp { call, exchange, timeout } => self.send(now, call, exchange, timeout),
+            Action::SendSetUp { call, exchange, timeout } => self.send_attempt(now, call, exchange, timeout),
             Action::CancelAttempt { call, attempt } => {
-                if let Some(id) = self.ids.get(&call).copied() {
-                    if self.table.get(&id).and_then(|c| c.out).is_some_and(|o| o.attempt == attempt) {
-                        self.give_up(now, id, Outcome::CalledOff);
+                if let Some(id) = self.ids_by_handle.get(&call).copied() {
+                    if self
+                        .calls_by_id
+                        .get(&id)
+                        .and_then(|c| c.pending_attempt)
+                        .is_some_and(|pending| pending.number == attempt)
+                    {
+                        self.cancel_attempt(now, id, Outcome::CalledOff);
                     }
                 }
             }
             Action::Refuse { call, retry_after } => {
-                self.final_answer(now, call, CallerNotification::Refused(retry_after))
+                self.give_final_answer(now, call, CallerNotification::Refused(retry_after))
             }
-            Action::Fail(call) => self.final_answer(now, call, CallerNotification::Failed),
+            Action::Fail(call) => self.give_final_answer(now, call, CallerNotification::Failed),
             Action::SetTimer(token, at) => self.deadlines.add(at, Deadline::ModuleTimer(token)),
-            Action::Note(text) => tracing::info!(text, "note of the module"),
-            // Probes are not allowed, and the journal is followed unasked.
+            Action::Note(text) => tracing::info!(text, "note from the decision module"),
+            // Probes are not permitted, and journal events arrive without a request from the module.
             Action::Probe(_) | Action::Subscribe | Action::FetchList => {}
         }
     }
 
-    fn final_answer(&mut self, now: Nanos, handle: CallId, say: CallerNotification) {
-        let Some(id) = self.ids.get(&handle).copied() else { return };
-        let Some(link) = self.table.get(&id).filter(|c| c.owed).map(|c| c.link) else { return };
-        tracing::debug!(call = format_args!("{id:016x}"), answer = ?say, "final answer");
-        self.counters.increment(if say == CallerNotification::Failed {
+    fn give_final_answer(&mut self, now: Nanos, handle: CallId, answer: CallerNotification) {
+        let Some(id) = self.ids_by_handle.get(&handle).copied() else { return };
+        let Some(conn) = self.calls_by_id.get(&id).filter(|c| c.awaits_answer).map(|c| c.caller_conn) else {
+            return;
+        };
+        tracing::debug!(call = format_args!("{id:016x}"), answer = ?answer, "final answer");
+        self.counters.increment(if answer == CallerNotification::Failed {
             "answered failed"
         } else {
             "answered refused"
         });
-        self.notify_caller(Some(link), id, say);
-        self.answered(id);
-        self.give_up(now, id, Outcome::CalledOff);
-        self.forget(now, id, true);
+        self.notify_caller(Some(conn), id, answer);
+        self.mark_answered(id);
+        self.cancel_attempt(now, id, Outcome::CalledOff);
+        self.remove_call(now, id, true);
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // Ends
-    // -----------------------------------------------------------------------------------------------------
-
     fn notify_caller(&mut self, conn: Option<CallerConnId>, call_id: u64, notification: CallerNotification) {
         self.commands.push_back(Command::NotifyCaller { conn, call_id, notification });
     }
@@ -638,42 +694,42 @@
         self.commands.push_back(Command::RequestExchange { to, call_id, request });
     }
 
-    /// The final answer is given, or owed no more. Tells the module's handle if it was owed until now.
-    fn answered(&mut self, id: u64) -> Option<CallId> {
-        let call = self.table.get_mut(&id).filter(|c| c.owed)?;
-        call.owed = false;
-        let (link, handle) = (call.link, call.handle);
-        self.open -= 1;
-        self.held -= call.size;
-        self.update_connection(link, |b| {
-            b.open.remove(&id);
+    /// Marks a call as no longer awaiting a final answer. Returns its handle if it did until now.
+    fn mark_answered(&mut self, id: u64) -> Option<CallId> {
+        let call = self.calls_by_id.get_mut(&id).filter(|c| c.awaits_answer)?;
+        call.awaits_answer = false;
+        let (conn, handle) = (call.caller_conn, call.handle);
+        self.open_set_ups -= 1;
+        self.open_bytes -= call.set_up_bytes;
+        self.update_connection(conn, |calls| {
+            calls.open_set_ups.remove(&id);
         });
         Some(handle)
     }
 
-    fn forget(&mut self, now: Nanos, id: u64, for_good: bool) {
-        if let Some(call) = self.table.remove(&id) {
-            if let (Some(meter), None) = (&mut self.meter, call.stands) {
-                meter.lost(call.measured());
+    fn remove_call(&mut self, now: Nanos, id: u64, retire_id: bool) {
+        if let Some(call) = self.calls_by_id.remove(&id) {
+            if let (Some(meter), None) = (&mut self.meter, call.answered_attempt) {
+                meter.lost(call.metered());
             }
-            self.ids.remove(&call.handle);
-            if let Some(stood) = call.stands {
-                self.update_connection(call.link, |b| b.standing -= 1);
-                self.stands_no_more(stood.exchange);
+            self.ids_by_handle.remove(&call.handle);
+            if let Some(attempt) = call.answered_attempt {
+                self.update_connection(call.caller_conn, |calls| calls.standing_calls -= 1);
+                self.decrement_standing_calls(attempt.exchange);
             }
-            self.remember(now, id, for_good);
+            self.remember_ended_call(now, id, retire_id);
         }
     }
 
-    fn remember(&mut self, now: Nanos, id: u64, for_good: bool) {
-        self.ended_calls.remember(now, id, for_good);
-        self.remind();
+    fn remember_ended_call(&mut self, now: Nanos, id: u64, retire_id: bool) {
+        self.ended_calls.insert(now, id, retire_id);
+        self.schedule_forget();
     }
 
-    fn remind(&mut self) {
-        if let (Some(due), false) = (self.ended_calls.due(), self.forgetting) {
-            self.forgetting = true;
-            self.deadlines.add(due, Deadline::ForgetEndedCalls);
+    fn schedule_forget(&mut self) {
+        if let (Some(expiry), false) = (self.ended_calls.next_expiry(), self.forget_scheduled) {
+            self.forget_scheduled = true;
+            self.deadlines.add(expiry, Deadline::ForgetEndedCalls);
         }
     }
 }
--- a/dillhold/src/call/recent.rs
+++ b/dillhold/src/call/recent.rs
@@ -1,4 +1,4 @@
-//! What is remembered for a while only: calls that ended lately, and numbers dialled.
+//! Records kept for a limited time: recently ended calls and recently dialled numbers.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,98 +6,108 @@
 
 use crate::clock::MS;
 
-/// How long a call that is over is remembered, for what crosses its end on the way. An exchange says what it could
-/// not say on its next connection, which may come up late; what is not remembered is taken for a call of before the
-/// start, and its release is passed on. At five seconds a caller was once told twice.
-const REMEMBERED: Nanos = 30_000 * MS;
+/// How long an ended call is remembered, so that messages which cross its end are recognized. An exchange
+/// repeats unacknowledged releases on its next connection, which may be established late. A release of a call
+/// that is no longer remembered is taken for one of a call from before this process started and passed on to
+/// a caller: with 5 s, a caller was notified twice.
+const ENDED_CALL_RETENTION: Nanos = 30_000 * MS;
 
-/// Calls that lately.
+/// Ids of recently ended calls.
 #[derive(Debug)]
 pub struct EndedCalls {
-    most: usize,
-    order: VecDeque<(Nanos, u64)>,
-    /// By id, whether the call had its final answer; otherwise its caller went away and may ask again.
-    ids: HashMap<u64, bool>,
+    max_calls: usize,
+    /// When each call ended and its id, oldest first.
+    by_age: VecDeque<(Nanos, u64)>,
+    /// Whether each call had its final answer; if not, its caller disconnected and may send the set-up again.
+    answered_by_id: HashMap<u64, bool>,
 }
 
 impl EndedCalls {
-    /// Remembers so many calls at the most; the oldest goes first.
-    pub fn new(most: usize) -> EndedCalls {
-        EndedCalls { most, order: VecDeque::new(), ids: HashMap::new() }
+    /// Creates an empty record of at most `max_calls` calls; the oldest are evicted first.
+    pub fn new(max_calls: usize) -> EndedCalls {
+        EndedCalls { max_calls, by_age: VecDeque::new(), answered_by_id: HashMap::new() }
     }
 
-    /// From now on so many calls are remembered at the most.
-    pub fn bound(&mut self, most: usize) {
-        self.most = most;
+    /// Sets the largest number of calls to remember. Takes effect with the next insertion.
+    pub fn set_max_calls(&mut self, max_calls: usize) {
+        self.max_calls = max_calls;
     }
 
-    /// A call is over.
-    pub fn remember(&mut self, now: Nanos, id: u64, answered: bool) {
-        while self.order.len() >= self.most {
-            self.order.pop_front().and_then(|(_, id)| self.ids.remove(&id));
+    /// Records the end of a call.
+    pub fn insert(&mut self, now: Nanos, call_id: u64, answered: bool) {
+        while self.by_age.len() >= self.max_calls {
+            self.by_age.pop_front().and_then(|(_, call_id)| self.answered_by_id.remove(&call_id));
         }
-        if self.ids.insert(id, answered).is_none() {
-            self.order.push_back((now, id));
+        if self.answered_by_id.insert(call_id, answered).is_none() {
+            self.by_age.push_back((now, call_id));
         }
     }
 
-    /// Whether this call lately.
-    pub fn knows(&self, id: u64) -> bool {
-        self.ids.contains_key(&id)
+    /// Whether this call ended recently.
+    pub fn contains(&self, call_id: u64) -> bool {
+        self.answered_by_id.contains_key(&call_id)
     }
 
-    /// Whether this call ended lately with a final answer: a set-up must not use its id again.
-    pub fn answered(&self, id: u64) -> bool {
-        self.ids.get(&id).is_some_and(|answered| *answered)
+    /// Whether this call ended recently with a final answer, so that a set-up must not reuse its id.
+    pub fn had_final_answer(&self, call_id: u64) -> bool {
+        self.answered_by_id.get(&call_id).is_some_and(|answered| *answered)
     }
 
-    /// When the oldest is to be forgotten.
-    pub fn due(&self) -> Option<Nanos> {
-        self.order.front().map(|(at, _)| at + REMEMBERED)
+    /// When the oldest entry expires.
+    pub fn next_expiry(&self) -> Option<Nanos> {
+        self.by_age.front().map(|(ended_at, _)| ended_at + ENDED_CALL_RETENTION)
     }
 
-    /// Forgets what has been remembered for long enough.
-    pub fn forget(&mut self, now: Nanos) {
-        while self.due().is_some_and(|due| due <= now) {
-            self.order.pop_front().and_then(|(_, id)| self.ids.remove(&id));
+    /// Removes expired entries.
+    pub fn remove_expired(&mut self, now: Nanos) {
+        while self.next_expiry().is_some_and(|expiry| expiry <= now) {
+            self.by_age.pop_front().and_then(|(_, call_id)| self.answered_by_id.remove(&call_id));
         }
     }
 }
 
-/// Handles of the numbers dialled. A handle is never used again; a number that was not dialled for a whole
-/// span is forgotten, or a long day would keep every number that was ever dialled.
+/// Assigns handles to dialled numbers. Handles are never reused. A number that was not dialled for a whole
+/// period is discarded, so that memory does not grow with every number ever dialled.
 #[derive(Debug)]
-pub struct Numbers {
-    span: Nanos,
-    most: usize,
-    /// When the present span began, and the numbers dialled in it and in the one before.
-    since: Nanos,
-    present: HashMap<Vec<u8>, NumberId>,
-    before: HashMap<Vec<u8>, NumberId>,
-    next: NumberId,
+pub struct NumberHandles {
+    period: Nanos,
+    max_per_period: usize,
+    period_start: Nanos,
+    /// Numbers dialled in the current period.
+    current: HashMap<Vec<u8>, NumberId>,
+    /// Numbers last dialled in the previous period.
+    previous: HashMap<Vec<u8>, NumberId>,
+    last_handle: NumberId,
 }
 
-impl Numbers {
-    /// Remembers a number for one span at least, but no more of them than `most` a span.
-    pub fn new(span: Nanos, most: usize) -> Numbers {
-        Numbers { span, most, since: 0, present: HashMap::new(), before: HashMap::new(), next: 0 }
+impl NumberHandles {
+    /// Keeps each number for at least one period. A period ends early once it has `max_per_period` numbers.
+    pub fn new(period: Nanos, max_per_period: usize) -> NumberHandles {
+        NumberHandles {
+            period,
+            max_per_period,
+            period_start: 0,
+            current: HashMap::new(),
+            previous: HashMap::new(),
+            last_handle: 0,
+        }
     }
 
-    /// The handle of a number.
+    /// The handle of a number; assigns a new one to an unknown number.
     pub fn handle(&mut self, now: Nanos, number: &[u8]) -> NumberId {
-        if now >= self.since + self.span || self.present.len() >= self.most {
-            self.before = std::mem::take(&mut self.present);
-            self.since = now;
+        if now >= self.period_start + self.period || self.current.len() >= self.max_per_period {
+            self.previous = std::mem::take(&mut self.current);
+            self.period_start = now;
         }
-        if let Some(id) = self.present.get(number) {
-            return *id;
+        if let Some(handle) = self.current.get(number) {
+            return *handle;
         }
-        let id = self.before.remove(number).unwrap_or_else(|| {
-            self.next += 1;
-            self.next
+        let handle = self.previous.remove(number).unwrap_or_else(|| {
+            self.last_handle += 1;
+            self.last_handle
         });
-        self.present.insert(number.to_vec(), id);
-        id
+        self.current.insert(number.to_vec(), handle);
+        handle
     }
 }
 
@@ -106,26 +116,34 @@
     use super::*;
 
     #[test]
-    fn a_number_keeps_its_handle_while_it_is_dialled_and_is_forgotten_after() {
-        let mut numbers = Numbers::new(10, 100);
+    fn number_keeps_its_handle_until_not_dialled_for_a_period() {
+        let mut numbers = NumberHandles::new(10, 100);
         let first = numbers.handle(100, b"7");
         assert_eq!([numbers.handle(109, b"7"), numbers.handle(111, b"7")], [first; 2]);
         (0..50).for_each(|n| assert_ne!(numbers.handle(130 + 10 * n, b"8"), first));
-        assert_eq!(numbers.present.len() + numbers.before.len(), 1, "7 is kept no longer");
-        assert_ne!(numbers.handle(900, b"7"), first, "a handle is never used again");
+        assert_eq!(numbers.current.len() + numbers.previous.len(), 1, "number 7 is discarded");
+        assert_ne!(numbers.handle(900, b"7"), first, "a handle is never reused");
     }
 
     #[test]
-    fn calls_that_are_over_are_forgotten_in_time_and_beyond_the_bound() {
-        let mut ended = EndedCalls::new(2);
-        for (now, id) in [(1, 1), (2, 2), (3, 3)] {
-            ended.remember(now, id, id == 3);
+    fn ended_calls_are_removed_on_expiry_and_beyond_the_maximum() {
+        let mut ended_calls = EndedCalls::new(2);
+        for (now, call_id) in [(1, 1), (2, 2), (3, 3)] {
+            ended_calls.insert(now, call_id, call_id == 3);
         }
         assert_eq!(
-            [ended.knows(1), ended.knows(2), ended.answered(2), ended.answered(3)],
+            [
+                ended_calls.contains(1),
+                ended_calls.contains(2),
+                ended_calls.had_final_answer(2),
+                ended_calls.had_final_answer(3)
+            ],
             [false, true, false, true]
         );
-        ended.forget(2 + REMEMBERED);
-        assert_eq!((ended.knows(2), ended.due()), (false, Some(3 + REMEMBERED)));
+        ended_calls.remove_expired(2 + ENDED_CALL_RETENTION);
+        assert_eq!(
+            (ended_calls.contains(2), ended_calls.next_expiry()),
+            (false, Some(3 + ENDED_CALL_RETENTION))
+        );
     }
 }
--- a/dillhold/src/call/standing.rs
+++ b/dillhold/src/call/standing.rs
@@ -1,125 +1,134 @@
-//! Calls that stand, by the exchange that they stand on: how they end, also without a word from it.
+//! Standing calls, indexed by exchange, and how they end, including when the exchange reports nothing.
 
 use std::collections::hash_map::Entry;
 
 use pitchgw::interface::{Cause, ExchangeId, LoadReport, Nanos, Outcome};
 
-use super::{unix_ms, Call, CallerConnId, CallerNotification, Calls, ExchangeRequest, CUT};
+use super::{
+    unix_ms, Call, CallerConnId, CallerNotification, Calls, ExchangeRequest, CAUSE_TEMPORARY_FAILURE,
+};
 
-/// The state of the group to an exchange.
+/// State of the trunk group towards an exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupState {
-    /// When the exchange told it.
+    /// When it was received.
     pub at: Nanos,
-    /// Circuits in use, by calls of either end.
+    /// Circuits in use by calls of both ends.
     pub in_use: f64,
 }
 
 impl Calls {
-    /// A call's answer could not be brought to its caller: what stands at the exchange serves nobody.
+    /// Releases a standing call at its exchange because its answer could not be delivered to the caller.
     pub fn answer_lost(&mut self, now: Nanos, id: u64) {
-        if let Some(stood) = self.table.get(&id).and_then(|c| c.stands) {
+        if let Some(attempt) = self.calls_by_id.get(&id).and_then(|c| c.answered_attempt) {
             self.counters.increment("errors answers lost with their caller");
-            self.request_exchange(stood.exchange, id, ExchangeRequest::Release(16));
-            self.over_standing(now, id, Outcome::CalledOff);
+            self.request_exchange(attempt.exchange, id, ExchangeRequest::Release(16));
+            self.end_standing_call(now, id, Outcome::CalledOff);
         }
     }
 
-    pub(super) fn released(&mut self, now: Nanos, exchange: ExchangeId, id: u64, cause: u8) {
+    pub(super) fn handle_exchange_release(&mut self, now: Nanos, exchange: ExchangeId, id: u64, cause: u8) {
         self.counters.increment("taken releases from exchanges");
-        let Some(call) = self.table.get(&id) else {
-            // A call of before this program started: its caller still waits for the release.
-            if !self.ended_calls.knows(id) {
+        let Some(call) = self.calls_by_id.get(&id) else {
+            // A call from before this process started: its caller still has to be notified.
+            if !self.ended_calls.contains(id) {
                 self.counters.increment("taken releases of unknown calls");
-                self.remember(now, id, true);
+                self.remember_ended_call(now, id, true);
                 self.notify_caller(None, id, CallerNotification::Released(cause));
             }
             return;
         };
-        if call.stands.is_some_and(|s| self.speaks_for(exchange, s.exchange)) {
+        if call.answered_attempt.is_some_and(|a| self.is_same_endpoint(exchange, a.exchange)) {
             let outcome = if cause == 16 { Outcome::Completed } else { Outcome::Cut };
-            let link = call.link;
-            self.notify_caller(Some(link), id, CallerNotification::Released(cause));
-            self.over_standing(now, id, outcome);
+            let conn = call.caller_conn;
+            self.notify_caller(Some(conn), id, CallerNotification::Released(cause));
+            self.end_standing_call(now, id, outcome);
         }
     }
 
-    /// Calls that stand on an exchange and were sent before a time, with the connections of their set-ups, in the
-    /// order of ids.
-    pub(super) fn standing_before(&self, exchange: ExchangeId, before: Nanos) -> Vec<(u64, CallerConnId)> {
-        let here = |c: &Call| c.stands.is_some_and(|s| s.exchange == exchange && s.sent < before);
-        let stood = self.table.iter().filter(|(_, c)| here(c)).map(|(id, c)| (*id, c.link));
-        let mut stood: Vec<_> = stood.collect();
-        stood.sort_unstable();
-        stood
+    /// Ids and caller connections of the calls that stand on an exchange and were sent there before a time,
+    /// ordered by id.
+    pub(super) fn standing_calls_sent_before(
+        &self,
+        exchange: ExchangeId,
+        sent_before: Nanos,
+    ) -> Vec<(u64, CallerConnId)> {
+        let is_match =
+            |c: &Call| c.answered_attempt.is_some_and(|a| a.exchange == exchange && a.sent_at < sent_before);
+        let calls = self.calls_by_id.iter().filter(|(_, c)| is_match(c)).map(|(id, c)| (*id, c.caller_conn));
+        let mut calls: Vec<_> = calls.collect();
+        calls.sort_unstable();
+        calls
     }
 
-    /// The exchange's process has ended, and with it the calls that stood there and were sent before.
-    pub fn exchange_ended(&mut self, now: Nanos, exchange: ExchangeId, before: Nanos) {
-        for (id, link) in self.standing_before(exchange, before) {
-            self.cut_standing(now, id, link);
+    /// Ends the calls that stand on an exchange whose process has terminated, if they were sent before a
+    /// time.
+    pub fn exchange_ended(&mut self, now: Nanos, exchange: ExchangeId, sent_before: Nanos) {
+        for (id, conn) in self.standing_calls_sent_before(exchange, sent_before) {
+            self.cut_standing_call(now, id, conn);
         }
     }
 
-    /// The exchange has vanished, and with it the calls that stood there. Should it have been cut off only, it is
-    /// told that they are over once it can be reached.
+    /// Ends all calls that stand on an exchange presumed dead. The exchange may only be unreachable, so
+    /// releases are queued for it as well.
     pub fn exchange_vanished(&mut self, now: Nanos, exchange: ExchangeId) {
-        for (id, link) in self.standing_before(exchange, Nanos::MAX) {
-            self.request_exchange(exchange, id, ExchangeRequest::Release(CUT));
-            self.cut_standing(now, id, link);
+        for (id, conn) in self.standing_calls_sent_before(exchange, Nanos::MAX) {
+            self.request_exchange(exchange, id, ExchangeRequest::Release(CAUSE_TEMPORARY_FAILURE));
+            self.cut_standing_call(now, id, conn);
         }
     }
 
-    pub(super) fn cut_standing(&mut self, now: Nanos, id: u64, link: CallerConnId) {
-        tracing::debug!(call = format_args!("{id:016x}"), "call cut with its exchange");
+    pub(super) fn cut_standing_call(&mut self, now: Nanos, id: u64, conn: CallerConnId) {
+        tracing::debug!(call = format_args!("{id:016x}"), "standing call cut: its exchange failed");
         self.counters.increment("errors calls cut with their exchange");
-        self.notify_caller(Some(link), id, CallerNotification::Released(CUT));
-        self.over_standing(now, id, Outcome::Cut);
+        self.notify_caller(Some(conn), id, CallerNotification::Released(CAUSE_TEMPORARY_FAILURE));
+        self.end_standing_call(now, id, Outcome::Cut);
     }
 
-    /// How many calls stand on an exchange.
+    /// Number of calls that stand on an exchange.
     pub fn standing_calls_at(&self, exchange: ExchangeId) -> usize {
-        self.standing_at.get(&exchange).copied().unwrap_or(0)
+        self.standing_calls.get(&exchange).copied().unwrap_or(0)
     }
 
-    pub(super) fn stands_no_more(&mut self, exchange: ExchangeId) {
-        if let Entry::Occupied(mut standing) = self.standing_at.entry(exchange) {
-            *standing.get_mut() -= 1;
-            if *standing.get() == 0 {
-                standing.remove();
+    pub(super) fn decrement_standing_calls(&mut self, exchange: ExchangeId) {
+        if let Entry::Occupied(mut count) = self.standing_calls.entry(exchange) {
+            *count.get_mut() -= 1;
+            if *count.get() == 0 {
+                count.remove();
             }
         }
     }
 
-    /// Circuits of the calls that stand on an exchange and were sent before a time.
-    pub fn circuits_of_standing_calls(&self, exchange: ExchangeId, before: Nanos) -> u32 {
-        let here = |c: &&Call| c.stands.is_some_and(|s| s.exchange == exchange && s.sent < before);
-        self.table.values().filter(here).map(|c| c.width).sum()
+    /// Circuits seized by the calls that stand on an exchange and were sent there before a time.
+    pub fn circuits_of_standing_calls(&self, exchange: ExchangeId, sent_before: Nanos) -> u32 {
+        let is_match =
+            |c: &&Call| c.answered_attempt.is_some_and(|a| a.exchange == exchange && a.sent_at < sent_before);
+        self.calls_by_id.values().filter(is_match).map(|c| c.width).sum()
     }
 
-    /// The state of the group to an exchange, as it first told it since [`Calls::clear_group_state`].
+    /// The first group state reported by an exchange since [`Calls::clear_group_state`].
     pub fn group_state(&self, exchange: ExchangeId) -> Option<GroupState> {
-        self.groups.get(&exchange).copied()
+        self.group_states.get(&exchange).copied()
     }
 
-    /// Forgets the state of the group to an exchange: the next one that it tells is kept.
+    /// Discards the group state of an exchange, so that its next report is recorded.
     pub fn clear_group_state(&mut self, exchange: ExchangeId) {
-        self.groups.remove(&exchange);
+        self.group_states.remove(&exchange);
     }
 
-    /// Forgets what is known of an exchange that is gone for good.
+    /// Discards all state of an exchange that is permanently gone.
     pub fn remove_exchange(&mut self, exchange: ExchangeId) {
         self.directory.remove_gone(exchange);
-        self.groups.remove(&exchange);
+        self.group_states.remove(&exchange);
     }
 
-    pub(super) fn over_standing(&mut self, now: Nanos, id: u64, outcome: Outcome) {
-        let Some(call) = self.table.get(&id) else { return };
-        let Some(stood) = call.stands else { return };
+    pub(super) fn end_standing_call(&mut self, now: Nanos, id: u64, outcome: Outcome) {
+        let Some(call) = self.calls_by_id.get(&id) else { return };
+        let Some(attempt) = call.answered_attempt else { return };
         if let (Some(meter), Outcome::Completed) = (&mut self.meter, outcome) {
-            meter.held(call.class, unix_ms(now - call.stood_at));
+            meter.held(call.class, unix_ms(now - call.stands_since));
         }
-        self.ended(now, id, stood, (outcome, Cause::Untold, LoadReport::default()));
-        self.forget(now, id, true);
+        self.end_attempt(now, id, attempt, (outcome, Cause::Untold, LoadReport::default()));
+        self.remove_call(now, id, true);
     }
 }
--- a/dillhold/src/codec/binary.rs
+++ b/dillhold/src/codec/binary.rs
@@ -1,4 +1,5 @@
-//! The callers' binary messages: `length:2 type:1 call:8 parameters`, a parameter being `code:1 length:2 value`.
+//! The callers' binary messages: `length:2 type:1 call:8 parameters`, a parameter being `code:1 length:2
+//! value`.
 
 use super::{Parsed, Unreadable, MAX_MESSAGE_BYTES};
 
--- a/dillhold/src/codec/http.rs
+++ b/dillhold/src/codec/http.rs
@@ -5,8 +5,8 @@
 
 use super::{body_length, decimal, head_end, header, Parsed, Unreadable};
 
-/// The most bytes of a journal answer's body. It may hold a whole list and many changes after a silence, so it
-/// is more than one message of the call protocols.
+/// The most bytes of a journal answer's body. It may hold a whole list and many changes after a silence, so
+/// it is more than one message of the call protocols.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
 /// One response.
--- a/dillhold/src/codec/mod.rs
+++ b/dillhold/src/codec/mod.rs
@@ -56,8 +56,8 @@
     headers(head).flatten().find(|(name, _)| named(name)).map(|(_, value)| value)
 }
 
-/// The length that a head gives for its body: a number, the same wherever it is given. Whoever reads on past a
-/// length that may be wrong takes one message's bytes for another's.
+/// The length that a head gives for its body: a number, the same wherever it is given. Whoever reads on past
+/// a length that may be wrong takes one message's bytes for another's.
 fn body_length(head: &[u8], names: &[&str]) -> Result<Option<u64>, Unreadable> {
     let named = |name: &[u8]| names.iter().any(|n| name.eq_ignore_ascii_case(n.as_bytes()));
     let mut length = None;
--- a/dillhold/src/codec/sip.rs
+++ b/dillhold/src/codec/sip.rs
@@ -1,4 +1,5 @@
-//! SIP over TCP, as much of it as exchanges speak: a first line, headers and a body of `Content-Length` bytes.
+//! SIP over TCP, as much of it as exchanges speak: a first line, headers and a body of `Content-Length`
+//! bytes.
 
 use std::fmt::Write;
 
--- a/dillhold/src/directory.rs
+++ b/dillhold/src/directory.rs
@@ -140,7 +140,7 @@
     /// A connection that is not up within this time never will be.
     pub connect_timeout: Nanos,
     /// Open set-ups that are taken at the most.
-    pub max_open: usize,
+    pub max_open_set_ups: usize,
     /// What the report of a group calls its free circuits and its size.
     pub report: [String; 2],
 }
@@ -161,7 +161,7 @@
         seed,
         classes: grades.map(|g| g["name"].as_str().unwrap_or_default().to_string()).collect(),
         connect_timeout: permissions["connect-timeout"].as_u64().filter(|t| *t > 0).unwrap_or(500 * MS),
-        max_open: permissions["max-open"].as_u64().unwrap_or(20_000) as usize,
+        max_open_set_ups: permissions["max-open"].as_u64().unwrap_or(20_000) as usize,
         report: [field(0, "spare"), field(1, "total")],
     })
 }
--- a/dillhold/src/session/caller.rs
+++ b/dillhold/src/session/caller.rs
@@ -4,7 +4,7 @@
 
 use pitchgw::interface::Nanos;
 
-use crate::call::{CallerConnId, CallerNotification, Calls, FromCaller, SetUp};
+use crate::call::{CallerConnId, CallerNotification, CallerRequest, Calls, SetUp};
 use crate::clock::MS;
 use crate::codec::binary::{self, kind, param, Message};
 use crate::codec::{attributes, Unreadable, MAX_MESSAGE_BYTES};
@@ -18,8 +18,8 @@
 const UNHEARD_KEPT: usize = 1024;
 const UNHEARD_FOR: Nanos = 1_000 * MS;
 
-/// Messages that cannot be served after which a connection is closed. Soon after a start callers release calls
-/// of before it, which are not known here either.
+/// Messages that cannot be served after which a connection is closed. Soon after a start callers release
+/// calls of before it, which are not known here either.
 const MOST_FAULTS: u32 = 250;
 /// Longest number called; bytes that a set-up takes in SIP beside number and description.
 const MOST_NUMBER: usize = 128;
@@ -61,12 +61,13 @@
             match message.kind {
                 kind::SET_UP => {
                     let said = set_up(&message);
-                    let served = calls.from_caller(now, link, said);
+                    let served = calls.handle_caller_request(now, link, said);
                     *faults += u32::from(!served);
                 }
                 kind::RELEASE => {
-                    let (id, cause) = (message.call_id, message.cause().unwrap_or(16));
-                    let known = calls.from_caller(now, link, FromCaller::Release { id, cause });
+                    let (call_id, cause) = (message.call_id, message.cause().unwrap_or(16));
+                    let known =
+                        calls.handle_caller_request(now, link, CallerRequest::Release { call_id, cause });
                     *faults += u32::from(!known);
                 }
                 kind::TEST => {
@@ -159,17 +160,17 @@
     std::str::from_utf8(text).ok().and_then(|t| t.trim().parse().ok())
 }
 
-fn set_up<'a>(message: &Message<'a>) -> FromCaller<'a> {
+fn set_up<'a>(message: &Message<'a>) -> CallerRequest<'a> {
     let mut s = SetUp {
-        id: message.call_id,
+        call_id: message.call_id,
         class: message.parameter(param::CLASS).unwrap_or_default(),
-        wait: 0,
-        number: message.parameter(param::CALLED_NUMBER).unwrap_or_default(),
+        timeout: 0,
+        called_number: message.parameter(param::CALLED_NUMBER).unwrap_or_default(),
         destination: u32::MAX,
         width: None,
-        advised: None,
-        transit: false,
-        again: false,
+        advised_tandem: None,
+        in_transit: false,
+        is_redial: false,
         description: message.parameter(param::DESCRIPTION).unwrap_or_default(),
     };
     // A figure that is no number, or that no call can have, is not taken for one that was left out.
@@ -183,24 +184,24 @@
         match name {
             b"dest" => s.destination = read(value, 0, i64::from(u32::MAX) - 1).unwrap_or(u32::MAX),
             b"width" => s.width = read(value, 1, i64::from(MOST_WIDTH)),
-            b"via" => s.advised = read(value, -1, i64::from(u32::MAX) - 1),
-            b"transit" => s.transit = read(value, 0, 1) == Some(1),
-            b"again" => s.again = read(value, 0, 1) == Some(1),
+            b"via" => s.advised_tandem = read(value, -1, i64::from(u32::MAX) - 1),
+            b"transit" => s.in_transit = read(value, 0, 1) == Some(1),
+            b"again" => s.is_redial = read(value, 0, 1) == Some(1),
             _ => {}
         }
     }
     let wait: Option<u32> = message.parameter(param::TIMEOUT_MS).and_then(number).filter(|ms| *ms > 0);
-    s.wait = Nanos::from(wait.unwrap_or(0)) * MS;
+    s.timeout = Nanos::from(wait.unwrap_or(0)) * MS;
     // What goes into a line of text must not break it, and what goes to an exchange must fit in a message: an
     // exchange closes the connection on what it cannot read, with the calls of others open on it.
     let clean = |b: &u8| b.is_ascii_alphanumeric() || b"-_.+*#!~$&=,;/".contains(b);
-    let dialled = (1..=MOST_NUMBER).contains(&s.number.len()) && s.number.iter().all(clean);
-    let fits = SIP_HEAD + s.number.len() + s.class.len() + s.description.len() <= MAX_MESSAGE_BYTES;
+    let dialled = (1..=MOST_NUMBER).contains(&s.called_number.len()) && s.called_number.iter().all(clean);
+    let fits = SIP_HEAD + s.called_number.len() + s.class.len() + s.description.len() <= MAX_MESSAGE_BYTES;
     let described = message.parameter(param::DESCRIPTION).is_some();
-    let named = s.id != 0 && s.destination != u32::MAX;
+    let named = s.call_id != 0 && s.destination != u32::MAX;
     if sound && named && dialled && described && fits && wait.is_some() {
-        FromCaller::SetUp(s)
+        CallerRequest::SetUp(s)
     } else {
-        FromCaller::Unservable(s.id)
+        CallerRequest::InvalidSetUp(s.call_id)
     }
 }
--- a/dillhold/src/session/exchange.rs
+++ b/dillhold/src/session/exchange.rs
@@ -5,7 +5,7 @@
 
 use pitchgw::interface::{Cause, ExchangeId, LoadReport, Nanos, Outcome};
 
-use crate::call::{Calls, ExchangeRequest, FromExchange};
+use crate::call::{Calls, ExchangeEvent, ExchangeRequest};
 use crate::clock::MS;
 use crate::codec::sip::{self, Message, StartLine};
 use crate::codec::{attributes, parse_call_id, Unreadable};
@@ -13,8 +13,8 @@
 
 /// Bytes that wait for an exchange at the most; past that its set-ups are not sent.
 const WAITING: usize = 128 * 1024;
-/// Releases not yet heard that are kept; the oldest goes first. All are said again at once on a new connection, which
-/// is closed when more than 256 KiB wait there.
+/// Releases not yet heard that are kept; the oldest goes first. All are said again at once on a new
+/// connection, which is closed when more than 256 KiB wait there.
 const UNHEARD_KEPT: usize = 1024;
 
 /// The state of one link.
@@ -73,20 +73,21 @@
     pub fn send(&mut self, id: u64, say: &ExchangeRequest) -> bool {
         self.has_requests = true;
         match say {
-            ExchangeRequest::SetUp { attempt, wait, class, number, description } => {
+            ExchangeRequest::SetUp { attempt, timeout, class, called_number, description } => {
                 if self.write_buffer.pending().len() > WAITING {
                     return false;
                 }
                 // A release of an earlier attempt, said again, would end this one.
                 self.unheard.remove(&id);
-                let (class, number) = (String::from_utf8_lossy(class), String::from_utf8_lossy(number));
-                let (uri, wait) = (format!("sip:{number}@net"), wait / MS);
+                let (class, number) =
+                    (String::from_utf8_lossy(class), String::from_utf8_lossy(called_number));
+                let (uri, wait) = (format!("sip:{number}@net"), timeout / MS);
                 self.write_buffer.append_tracked((id, *attempt), |out| {
                     let further = format_args!("X-Service: {class}\r\nX-Setup-Ms: {wait}\r\n");
                     request_line(out, "INVITE", &uri, id, attempt + 1, further, description);
                 });
             }
-            ExchangeRequest::GiveUp { attempt } => {
+            ExchangeRequest::CancelAttempt { attempt } => {
                 // A set-up that has not begun to leave is taken back: sent late it would cross the next one.
                 if self.write_buffer.withdraw(|m| m == (id, *attempt)).is_empty() {
                     let out = self.write_buffer.buffer();
@@ -160,9 +161,9 @@
     match method {
         b"BYE" => {
             respond(message, "BYE", out);
-            if let Some(id) = parse_call_id(message.raw_call_id()) {
+            if let Some(call_id) = parse_call_id(message.raw_call_id()) {
                 let cause = message.cause().unwrap_or(16);
-                calls.from_exchange(now, from, FromExchange::Released { id, cause });
+                calls.handle_exchange_event(now, from, ExchangeEvent::Released { call_id, cause });
             }
         }
         b"OPTIONS" => {
@@ -171,7 +172,7 @@
         }
         b"NOTIFY" => {
             let report = report(message, calls);
-            calls.from_exchange(now, from, FromExchange::Group(report));
+            calls.handle_exchange_event(now, from, ExchangeEvent::GroupReport(report));
         }
         _ => calls.counters.increment("taken messages skipped"),
     }
@@ -183,13 +184,13 @@
     sip::write(out, line, message.raw_call_id(), (number, method), format_args!(""), b"");
 }
 
-/// A response to a set-up. Which attempt it speaks of is not told: exchanges give the number of `CSeq` as they
-/// like.
+/// A response to a set-up. Which attempt it speaks of is not told: exchanges give the number of `CSeq` as
+/// they like.
 fn invited(
     now: Nanos,
     from: ExchangeId,
     code: u16,
-    (id, number): (u64, u32),
+    (call_id, number): (u64, u32),
     message: &Message<'_>,
     out: &mut Vec<u8>,
     calls: &mut Calls,
@@ -197,14 +198,14 @@
     if code < 200 {
         return; // progress means nothing
     }
-    request_line(out, "ACK", "sip:call@net", id, number, format_args!(""), b"");
+    request_line(out, "ACK", "sip:call@net", call_id, number, format_args!(""), b"");
     let said = if code < 300 {
-        FromExchange::Answered { id, description: message.body }
+        ExchangeEvent::Answered { call_id, description: message.body }
     } else {
         let (outcome, cause) = ending(code, message);
-        FromExchange::Ended { id, outcome, cause, report: report(message, calls) }
+        ExchangeEvent::AttemptEnded { call_id, outcome, cause, report: report(message, calls) }
     };
-    calls.from_exchange(now, from, said);
+    calls.handle_exchange_event(now, from, said);
 }
 
 fn ending(code: u16, message: &Message<'_>) -> (Outcome, Cause) {
--- a/dillhold/src/session/journal.rs
+++ b/dillhold/src/session/journal.rs
@@ -30,7 +30,8 @@
         http::write_get(self.write_buffer.buffer(), &path, &host.to_string());
     }
 
-    /// Takes in what is in the read_buffer; tells the answer once it is whole, and whether the connection can be kept.
+    /// Takes in what is in the read_buffer; tells the answer once it is whole, and whether the connection can
+    /// be kept.
     pub fn process_input(&mut self) -> Result<Option<(JournalAnswer, bool)>, BadAnswer> {
         let Some((response, taken)) = http::parse(self.read_buffer.unread()).map_err(|_| BadAnswer)? else {
             return Ok(None);
--- a/dillhold/src/session/mod.rs
+++ b/dillhold/src/session/mod.rs
@@ -154,8 +154,8 @@
     }
 }
 
-/// Takes whole messages from the read_buffer until none is left. `each` gets a message and tells how many bytes it
-/// took; `None` ends it.
+/// Takes whole messages from the read_buffer until none is left. `each` gets a message and tells how many
+/// bytes it took; `None` ends it.
 fn drain(
     read_buffer: &mut ReadBuffer,
     mut each: impl FnMut(&[u8]) -> Result<Option<usize>, Unreadable>,
--- a/dillhold/tests/callers.rs
+++ b/dillhold/tests/callers.rs
@@ -37,8 +37,8 @@
     let mut idle: Vec<Connection> = (0..40).map(|_| program.connect_caller()).collect();
     idle[0].wait_for_close();
     idle[39].expect_nothing_else();
-    for mut wire in idle {
-        wire.wait_for_close();
+    for mut connection in idle {
+        connection.wait_for_close();
     }
     release(&mut exchange, 1);
     assert_eq!(caller.read_binary(), (12, 1, 16, vec![]));
@@ -120,8 +120,8 @@
     out
 }
 
-/// Every kind of client that cannot be served gets a word or a close, none of its set-ups reaches an exchange,
-/// and usual callers are served all the while.
+/// Every kind of client that cannot be served gets a word or a close, none of its set-ups reaches an
+/// exchange, and usual callers are served all the while.
 #[test]
 fn clients_that_cannot_be_served_are_told_so_or_closed() {
     let (program, mut caller, mut exchange, _sockets) = scene("odd");
--- a/dillhold/tests/calls.rs
+++ b/dillhold/tests/calls.rs
@@ -32,23 +32,23 @@
     calls
 }
 
-fn plain(transit: bool) -> SetUp<'static> {
+fn plain(in_transit: bool) -> SetUp<'static> {
     SetUp {
-        id: 1,
+        call_id: 1,
         class: b"view",
-        wait: 3_000 * MS,
-        number: b"77",
+        timeout: 3_000 * MS,
+        called_number: b"77",
         destination: 1,
         width: None,
-        advised: Some(2),
-        transit,
-        again: false,
+        advised_tandem: Some(2),
+        in_transit,
+        is_redial: false,
         description: DESCRIPTION,
     }
 }
 
-fn set_up(calls: &mut Calls, now: Nanos, link: CallerConnId, id: u64, transit: bool) {
-    calls.from_caller(now, link, FromCaller::SetUp(SetUp { id, ..plain(transit) }));
+fn set_up(calls: &mut Calls, now: Nanos, link: CallerConnId, call_id: u64, in_transit: bool) {
+    calls.handle_caller_request(now, link, CallerRequest::SetUp(SetUp { call_id, ..plain(in_transit) }));
     calls.dispatch_queued_events(now);
 }
 
@@ -91,7 +91,7 @@
     let said = run(&mut calls, START + 4_000 * MS);
     assert_eq!(sent_to(&said).len(), 1);
     let given_up = |c: &Command| {
-        matches!(c, Command::RequestExchange { request: ExchangeRequest::GiveUp { attempt: 0 }, .. })
+        matches!(c, Command::RequestExchange { request: ExchangeRequest::CancelAttempt { attempt: 0 }, .. })
     };
     assert_eq!(said.iter().filter(|(_, c)| given_up(c)).count(), 1);
     assert_eq!(finals(&said), vec![(START + 2_990 * MS, &CallerNotification::Failed)]);
@@ -125,8 +125,8 @@
     assert_eq!(finals(&run(&mut calls, START + MS)), vec![(0, &CallerNotification::Refused(0))]);
 }
 
-/// Found by a rehearsal: a connection was reset in the turn in which the set-up was decided. The attempt counted as
-/// cut, its set-up was written to the next connection, and the call was sent again beside it.
+/// Found by a rehearsal: a connection was reset in the turn in which the set-up was decided. The attempt
+/// counted as cut, its set-up was written to the next connection, and the call was sent again beside it.
 #[test]
 fn a_set_up_that_is_still_to_be_written_when_its_connection_ends_never_left() {
     let mut calls = table();
@@ -141,7 +141,7 @@
 fn an_answer_that_cannot_reach_its_caller_is_released_at_the_exchange() {
     let mut calls = table();
     set_up(&mut calls, START, 7, 1, false);
-    calls.from_exchange(START, 0, FromExchange::Answered { id: 1, description: b"d" });
+    calls.handle_exchange_event(START, 0, ExchangeEvent::Answered { call_id: 1, description: b"d" });
     run(&mut calls, START);
     calls.answer_lost(START + MS, 1);
     let released = Command::RequestExchange { to: 0, call_id: 1, request: ExchangeRequest::Release(16) };
@@ -163,8 +163,11 @@
     assert_eq!(calls.commands, vec![failed(8)], "another connection's set-up is no matter of the call");
     calls.commands.clear();
     set_up(&mut calls, START, 7, 1, false);
-    let given_up =
-        Command::RequestExchange { to: 0, call_id: 1, request: ExchangeRequest::GiveUp { attempt: 0 } };
+    let given_up = Command::RequestExchange {
+        to: 0,
+        call_id: 1,
+        request: ExchangeRequest::CancelAttempt { attempt: 0 },
+    };
     assert_eq!(calls.commands, vec![failed(7), given_up], "one answer for both");
     assert_eq!((calls.open_set_ups(), calls.has_calls(7)), (0, false));
     calls.commands.clear();
@@ -191,9 +194,9 @@
     let mut calls = table();
     set_up(&mut calls, START, 7, 1, false);
     assert!(calls.has_open_set_ups(7) && calls.has_calls(7));
-    calls.from_exchange(START, 0, FromExchange::Answered { id: 1, description: b"d" });
+    calls.handle_exchange_event(START, 0, ExchangeEvent::Answered { call_id: 1, description: b"d" });
     assert!(!calls.has_open_set_ups(7) && calls.has_calls(7));
-    calls.from_exchange(START, 0, FromExchange::Released { id: 1, cause: 16 });
+    calls.handle_exchange_event(START, 0, ExchangeEvent::Released { call_id: 1, cause: 16 });
     assert!(!calls.has_calls(7));
 }
 
@@ -201,11 +204,11 @@
 #[test]
 fn second_copies_and_answers_under_unknown_ids_change_nothing() {
     let mut calls = table();
-    calls.from_exchange(START, 0, FromExchange::Answered { id: 5, description: b"odd" });
+    calls.handle_exchange_event(START, 0, ExchangeEvent::Answered { call_id: 5, description: b"odd" });
     assert_eq!(calls.commands, vec![]);
     set_up(&mut calls, START, 7, 1, false);
     for description in [b"good", b"copy"] {
-        calls.from_exchange(START, 0, FromExchange::Answered { id: 1, description });
+        calls.handle_exchange_event(START, 0, ExchangeEvent::Answered { call_id: 1, description });
     }
     let said = run(&mut calls, START);
     assert_eq!(finals(&said), vec![(0, &CallerNotification::Answer(b"good".to_vec()))]);
@@ -227,9 +230,9 @@
 fn set_ups_beyond_the_memory_are_refused() {
     let big = [b'x'; 15_000];
     let mut calls = table_within(Some(20_000));
-    for id in [1, 2] {
-        let s = SetUp { id, description: &big, ..plain(false) };
-        calls.from_caller(START, 7, FromCaller::SetUp(s));
+    for call_id in [1, 2] {
+        let s = SetUp { call_id, description: &big, ..plain(false) };
+        calls.handle_caller_request(START, 7, CallerRequest::SetUp(s));
     }
     assert_eq!(calls.open_set_ups(), 1);
     let last = calls.commands.pop_back();
@@ -257,7 +260,7 @@
 fn calls_on_a_machine_that_is_gone_are_released_soon_after_the_news() {
     let mut calls = table();
     set_up(&mut calls, START, 7, 1, false);
-    calls.from_exchange(START, 0, FromExchange::Answered { id: 1, description: b"d" });
+    calls.handle_exchange_event(START, 0, ExchangeEvent::Answered { call_id: 1, description: b"d" });
     run(&mut calls, START);
     let address = "127.0.0.1:1".parse().unwrap();
     let hosts = json!({"all": false, "targets": [journal_target(1, "s-1", address, "DELETED")]});
@@ -282,25 +285,25 @@
     calls.exchange_disconnected(START, 0, &[]);
     calls.dispatch_queued_events(START);
     let (outcome, cause, report) = (Outcome::Failed, Cause::Untold, LoadReport::default());
-    let ended = || FromExchange::Ended { id: 1, outcome, cause, report };
+    let ended = || ExchangeEvent::AttemptEnded { call_id: 1, outcome, cause, report };
     let late = START + 100 * MS;
-    calls.from_exchange(late, 0, ended());
-    calls.from_exchange(late, 0, FromExchange::Answered { id: 1, description: b"old" });
+    calls.handle_exchange_event(late, 0, ended());
+    calls.handle_exchange_event(late, 0, ExchangeEvent::Answered { call_id: 1, description: b"old" });
     calls.dispatch_queued_events(late);
     let release = Command::RequestExchange { to: 0, call_id: 1, request: ExchangeRequest::Release(16) };
     assert_eq!(calls.commands, vec![release.clone()], "what stands there for the first serves nobody");
     calls.commands.clear();
     let now = START + 400 * MS;
     assert_eq!(sent_to(&run(&mut calls, now)).len(), 1);
-    calls.from_exchange(now, 1, ended());
-    calls.from_exchange(now, 1, FromExchange::Answered { id: 1, description: b"elsewhere" });
+    calls.handle_exchange_event(now, 1, ended());
+    calls.handle_exchange_event(now, 1, ExchangeEvent::Answered { call_id: 1, description: b"elsewhere" });
     assert!(finals(&run(&mut calls, now)).is_empty());
-    calls.from_exchange(now, 0, FromExchange::Answered { id: 1, description: b"new" });
+    calls.handle_exchange_event(now, 0, ExchangeEvent::Answered { call_id: 1, description: b"new" });
     assert_eq!(finals(&run(&mut calls, now)), vec![(0, &CallerNotification::Answer(b"new".to_vec()))]);
 }
 
-/// Found by a rehearsal with events drawn at random: a machine was replaced twice at its address. The link to the
-/// old one ended at the new one, and what that said there of its own calls was dropped.
+/// Found by a rehearsal with events drawn at random: a machine was replaced twice at its address. The link to
+/// the old one ended at the new one, and what that said there of its own calls was dropped.
 #[test]
 fn a_release_heard_on_the_link_of_a_machine_that_had_the_address_before_is_passed_on() {
     let mut calls = table();
@@ -313,8 +316,8 @@
     calls.commands.clear();
     set_up(&mut calls, START, 7, 1, false);
     assert_eq!(sent_to(&run(&mut calls, START)), vec![(0, 2)], "the new machine has the handle 2");
-    calls.from_exchange(START + MS, 0, FromExchange::Answered { id: 1, description: b"d" });
-    calls.from_exchange(START + 2 * MS, 1, FromExchange::Released { id: 1, cause: 16 });
+    calls.handle_exchange_event(START + MS, 0, ExchangeEvent::Answered { call_id: 1, description: b"d" });
+    calls.handle_exchange_event(START + 2 * MS, 1, ExchangeEvent::Released { call_id: 1, cause: 16 });
     let told = |calls: &mut Calls| {
         let said = run(calls, START + 2 * MS);
         finals(&said).into_iter().map(|(_, say)| say.clone()).collect::<Vec<_>>()
@@ -324,6 +327,6 @@
         vec![CallerNotification::Answer(b"d".to_vec())],
         "exchange 2 speaks for itself only"
     );
-    calls.from_exchange(START + 2 * MS, 0, FromExchange::Released { id: 1, cause: 16 });
+    calls.handle_exchange_event(START + 2 * MS, 0, ExchangeEvent::Released { call_id: 1, cause: 16 });
     assert_eq!(told(&mut calls), vec![CallerNotification::Released(16)]);
 }
