--- a/dillhold/src/codec/http.rs
+++ b/dillhold/src/codec/http.rs
@@ -1,87 +1,88 @@
-//! HTTP/1.1 as a client of the journal service needs it: one request form, and responses with a counted or a
-//! chunked body.
+//! The part of HTTP/1.1 that a client of the journal service needs: GET requests, and responses whose body
+//! has a `Content-Length` or is chunked.
 
 use std::borrow::Cow;
 
-use super::{body_length, decimal, head_end, header, Parsed, Unreadable};
+use super::{find_head_end, find_header, parse_body_length, parse_decimal, ParseError, ParseResult};
 
-/// The most bytes of a journal answer's body. It may hold a whole list and many changes after a silence, so
-/// it is more than one message of the call protocols.
+/// Largest body of a response. It is larger than [`super::MAX_MESSAGE_BYTES`], as it may hold a complete list
+/// and the many changes that accumulate during an outage.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
-/// One response.
+/// A parsed response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response<'a> {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Whether the other side closes the connection after it.
+    /// Whether the server closes the connection after it.
     pub closes: bool,
-    /// Its body; copied only where it came in chunks.
+    /// The body; copied only if it was chunked.
     pub body: Cow<'a, [u8]>,
 }
 
-/// Reads the first response.
-pub fn parse(bytes: &[u8]) -> Parsed<Response<'_>> {
-    let Some(end) = head_end(bytes)? else { return Ok(None) };
-    let head = &bytes[..end];
+/// Parses the first response.
+pub fn parse(bytes: &[u8]) -> ParseResult<Response<'_>> {
+    let Some(head_len) = find_head_end(bytes)? else { return Ok(None) };
+    let head = &bytes[..head_len];
     let mut words = head.split(|b| matches!(b, b' ' | b'\r'));
     let version = words.next().unwrap_or_default();
     if !version.starts_with(b"HTTP/1.") {
-        return Err(Unreadable::Malformed);
+        return Err(ParseError::Malformed);
     }
-    let status = words.next().and_then(decimal).filter(|s| (100..600).contains(s));
-    let status = status.ok_or(Unreadable::Malformed)? as u16;
-    let connection = header(head, &["Connection"]).unwrap_or_default();
+    let status = words.next().and_then(parse_decimal).filter(|s| (100..600).contains(s));
+    let status = status.ok_or(ParseError::Malformed)? as u16;
+    let connection = find_header(head, &["Connection"]).unwrap_or_default();
     let closes = connection.eq_ignore_ascii_case(b"close") || version == b"HTTP/1.0";
-    let coding = header(head, &["Transfer-Encoding"]).unwrap_or_default();
-    let rest = &bytes[end..];
-    let body = if coding.eq_ignore_ascii_case(b"chunked") {
-        chunked(rest)?.map(|(body, taken)| (Cow::Owned(body), taken))
+    let transfer_encoding = find_header(head, &["Transfer-Encoding"]).unwrap_or_default();
+    let rest = &bytes[head_len..];
+    let body = if transfer_encoding.eq_ignore_ascii_case(b"chunked") {
+        parse_chunked_body(rest)?.map(|(body, body_len)| (Cow::Owned(body), body_len))
     } else {
-        let length = match body_length(head, &["Content-Length"])? {
+        let length = match parse_body_length(head, &["Content-Length"])? {
             Some(length) => length,
             None if status == 204 || status == 304 || status < 200 => 0,
-            None => return Err(Unreadable::Malformed),
+            None => return Err(ParseError::Malformed),
         };
         if length > MAX_BODY_BYTES as u64 {
-            return Err(Unreadable::TooLong);
+            return Err(ParseError::TooLong);
         }
         rest.get(..length as usize).map(|body| (Cow::Borrowed(body), length as usize))
     };
-    Ok(body.map(|(body, taken)| (Response { status, closes, body }, end + taken)))
+    Ok(body.map(|(body, body_len)| (Response { status, closes, body }, head_len + body_len)))
 }
 
-fn chunked(bytes: &[u8]) -> Parsed<Vec<u8>> {
-    let (mut body, mut at) = (Vec::new(), 0);
-    let line_end = |from: usize| bytes[from..].windows(2).position(|w| w == b"\r\n").map(|n| from + n);
+/// Parses a chunked body with its trailers.
+fn parse_chunked_body(bytes: &[u8]) -> ParseResult<Vec<u8>> {
+    let (mut body, mut position) = (Vec::new(), 0);
+    let find_line_end = |from: usize| bytes[from..].windows(2).position(|w| w == b"\r\n").map(|n| from + n);
     loop {
-        let Some(end) = line_end(at) else {
-            return if bytes.len() - at > 1024 { Err(Unreadable::Malformed) } else { Ok(None) };
+        let Some(end) = find_line_end(position) else {
+            return if bytes.len() - position > 1024 { Err(ParseError::Malformed) } else { Ok(None) };
         };
-        let size = bytes[at..end].split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
+        let size = bytes[position..end].split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
         let size = std::str::from_utf8(size).ok().and_then(|t| usize::from_str_radix(t, 16).ok());
-        let size = size.ok_or(Unreadable::Malformed)?;
+        let size = size.ok_or(ParseError::Malformed)?;
         if size > MAX_BODY_BYTES - body.len() {
-            return Err(Unreadable::TooLong);
+            return Err(ParseError::TooLong);
         }
-        at = end + 2;
+        position = end + 2;
         if size == 0 {
-            // Trailers, if any, end with an empty line.
+            // Trailers are skipped; they end with an empty line.
             loop {
-                let Some(end) = line_end(at) else { return Ok(None) };
-                let empty = end == at;
-                at = end + 2;
-                if empty {
-                    return Ok(Some((body, at)));
+                let Some(end) = find_line_end(position) else { return Ok(None) };
+                let is_empty = end == position;
+                position = end + 2;
+                if is_empty {
+                    return Ok(Some((body, position)));
                 }
             }
         }
-        let Some(chunk) = bytes.get(at..at + size + 2) else { return Ok(None) };
+        let Some(chunk) = bytes.get(position..position + size + 2) else { return Ok(None) };
         if &chunk[size..] != b"\r\n" {
-            return Err(Unreadable::Malformed);
+            return Err(ParseError::Malformed);
         }
         body.extend(&chunk[..size]);
-        at += size + 2;
+        position += size + 2;
     }
 }
 
--- a/dillhold/src/codec/sip.rs
+++ b/dillhold/src/codec/sip.rs
@@ -1,65 +1,67 @@
-//! SIP over TCP, as much of it as exchanges speak: a first line, headers and a body of `Content-Length`
-//! bytes.
+//! The part of SIP over TCP that exchanges use: a start line, headers and a body of `Content-Length` bytes.
 
 use std::fmt::Write;
 
-use super::{body_length, decimal, head_end, header, parse_call_id, Parsed, Unreadable, MAX_MESSAGE_BYTES};
+use super::{
+    find_head_end, find_header, parse_body_length, parse_call_id, parse_decimal, ParseError, ParseResult,
+    MAX_MESSAGE_BYTES,
+};
 
-/// What a message is.
+/// The start line of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartLine<'a> {
-    /// A request of this method.
+    /// A request; holds the method.
     Request(&'a [u8]),
-    /// A response with this status.
+    /// A response; holds the status code.
     Response(u16),
 }
 
-/// One message.
+/// A parsed message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// What it is.
+    /// The start line.
     pub start_line: StartLine<'a>,
     head: &'a [u8],
-    /// The body, byte for byte.
+    /// The body, unchanged.
     pub body: &'a [u8],
 }
 
 impl<'a> Message<'a> {
-    /// A header's value.
+    /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&'a [u8]> {
-        header(self.head, &[name])
+        find_header(self.head, &[name])
     }
 
-    /// The address in the first line of a request.
+    /// The URI of a request.
     pub fn uri(&self) -> Option<&'a [u8]> {
         let line = self.head.split(|b| *b == b'\r').next()?;
         line.split(|b| *b == b' ').nth(1).filter(|_| matches!(self.start_line, StartLine::Request(_)))
     }
 
-    /// The call that `Call-ID` names.
+    /// The call id in `Call-ID`, if it is valid.
     pub fn call_id(&self) -> Option<u64> {
-        header(self.head, &["Call-ID", "i"]).and_then(parse_call_id)
+        find_header(self.head, &["Call-ID", "i"]).and_then(parse_call_id)
     }
 
-    /// The raw `Call-ID`, whatever it holds.
+    /// The value of `Call-ID`, valid or not.
     pub fn raw_call_id(&self) -> &'a [u8] {
-        header(self.head, &["Call-ID", "i"]).unwrap_or_default()
+        find_header(self.head, &["Call-ID", "i"]).unwrap_or_default()
     }
 
-    /// Number and method of `CSeq`.
+    /// The number and the method of `CSeq`.
     pub fn cseq(&self) -> Option<(u32, &'a [u8])> {
         let value = self.header("CSeq")?;
-        let gap = value.iter().position(u8::is_ascii_whitespace)?;
-        let number = decimal(&value[..gap]).and_then(|n| u32::try_from(n).ok())?;
-        Some((number, value[gap..].trim_ascii()))
+        let separator = value.iter().position(u8::is_ascii_whitespace)?;
+        let number = parse_decimal(&value[..separator]).and_then(|n| u32::try_from(n).ok())?;
+        Some((number, value[separator..].trim_ascii()))
     }
 
-    /// The cause of `Reason: Q.850;cause=N`.
+    /// The Q.850 cause in `Reason: Q.850;cause=N`.
     pub fn cause(&self) -> Option<u8> {
         let value = self.header("Reason")?;
         let mut parts = value.split(|b| *b == b';').map(<[u8]>::trim_ascii);
         let text = parts.find_map(|p| p.strip_prefix(b"cause="))?;
-        decimal(text).and_then(|n| u8::try_from(n).ok())
+        parse_decimal(text).and_then(|n| u8::try_from(n).ok())
     }
 }
 
@@ -67,49 +69,50 @@
     let mut words = line.split(|b| *b == b' ');
     let (first, second, third) = (words.next()?, words.next()?, words.next());
     if first == b"SIP/2.0" {
-        let code = decimal(second).filter(|c| (100..700).contains(c))?;
+        let code = parse_decimal(second).filter(|c| (100..700).contains(c))?;
         return Some(StartLine::Response(code as u16));
     }
-    let method = !first.is_empty() && first.iter().all(u8::is_ascii_uppercase);
-    Some(StartLine::Request(first)).filter(|_| method && third == Some(b"SIP/2.0"))
+    let is_method = !first.is_empty() && first.iter().all(u8::is_ascii_uppercase);
+    Some(StartLine::Request(first)).filter(|_| is_method && third == Some(b"SIP/2.0"))
 }
 
-/// Reads the first message. Empty lines before it, which keep connections alive, count to its length.
-pub fn parse(bytes: &[u8]) -> Parsed<Message<'_>> {
+/// Parses the first message. Its length includes empty lines before it, which are sent as keep-alives.
+pub fn parse(bytes: &[u8]) -> ParseResult<Message<'_>> {
     let skipped = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
     if skipped > MAX_MESSAGE_BYTES {
-        return Err(Unreadable::TooLong);
+        return Err(ParseError::TooLong);
     }
     let bytes = &bytes[skipped..];
-    let Some(end) = head_end(bytes)? else { return Ok(None) };
-    let head = &bytes[..end];
+    let Some(head_len) = find_head_end(bytes)? else { return Ok(None) };
+    let head = &bytes[..head_len];
     let line = head.split(|b| *b == b'\r').next().unwrap_or_default();
-    let start_line = parse_start_line(line).ok_or(Unreadable::Malformed)?;
-    let length = body_length(head, &["Content-Length", "l"])?.ok_or(Unreadable::Malformed)?;
-    if length > (MAX_MESSAGE_BYTES - end) as u64 {
-        return Err(Unreadable::TooLong);
+    let start_line = parse_start_line(line).ok_or(ParseError::Malformed)?;
+    let body_len = parse_body_length(head, &["Content-Length", "l"])?.ok_or(ParseError::Malformed)?;
+    if body_len > (MAX_MESSAGE_BYTES - head_len) as u64 {
+        return Err(ParseError::TooLong);
     }
-    let whole = end + length as usize;
-    let Some(body) = bytes.get(end..whole) else { return Ok(None) };
-    Ok(Some((Message { start_line, head, body }, skipped + whole)))
+    let message_len = head_len + body_len as usize;
+    let Some(body) = bytes.get(head_len..message_len) else { return Ok(None) };
+    Ok(Some((Message { start_line, head, body }, skipped + message_len)))
 }
 
-/// Writes one message: its first line, `Call-ID`, `CSeq`, further headers and the body.
+/// Writes a message. `cseq` is the number and the method of `CSeq`; `headers` are further header lines, each
+/// ended by CRLF.
 pub fn write(
     out: &mut Vec<u8>,
-    line: std::fmt::Arguments<'_>,
-    call: &[u8],
-    sequence: (u32, &str),
-    further: std::fmt::Arguments<'_>,
+    start_line: std::fmt::Arguments<'_>,
+    call_id: &[u8],
+    cseq: (u32, &str),
+    headers: std::fmt::Arguments<'_>,
     body: &[u8],
 ) {
-    let (number, method) = sequence;
-    let call = String::from_utf8_lossy(call);
+    let (cseq_number, method) = cseq;
+    let call_id = String::from_utf8_lossy(call_id);
     let mut head = String::with_capacity(256);
     // Writing to a String cannot fail.
     let _ = write!(
         head,
-        "{line}\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call}\r\nCSeq: {number} {method}\r\n{further}\
+        "{start_line}\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call_id}\r\nCSeq: {cseq_number} {method}\r\n{headers}\
          Content-Length: {}\r\n\r\n",
         body.len()
     );
--- a/dillhold/src/counters.rs
+++ b/dillhold/src/counters.rs
@@ -1,19 +1,19 @@
-//! Counts of what was taken in, sent and answered, and of errors by kind.
+//! Counters of received, sent and answered messages, and of errors by kind.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// All counts by name. A name stands for one place in the program, so their number is bounded.
+/// All counters by name. Names are string literals in the code, so their number is bounded.
 #[derive(Debug, Default)]
 pub struct Counters(BTreeMap<&'static str, u64>);
 
 impl Counters {
-    /// Counts one more.
+    /// Increments a counter.
     pub fn increment(&mut self, name: &'static str) {
         *self.0.entry(name).or_insert(0) += 1;
     }
 
-    /// The count so far.
+    /// The value of a counter; 0 if it was never incremented.
     pub fn get(&self, name: &str) -> u64 {
         self.0.get(name).copied().unwrap_or(0)
     }
--- a/dillhold/src/directory.rs
+++ b/dillhold/src/directory.rs
@@ -1,6 +1,7 @@
-//! What the program is told: its configuration, the settings and the list of exchanges.
+//! The configuration, the settings and the list of exchanges.
 //!
-//! The journal events of the start (`known`) and those that come later (`/journal`) take the same path.
+//! The journal events in the configuration (`known`) and those received later (`/journal`) are applied in the
+//! same way.
 
 use std::collections::BTreeMap;
 
@@ -11,91 +12,93 @@
 
 use crate::clock::MS;
 
-/// On sockets every time limit of the rules is this much longer. The wait after an attempt that may have left
-/// something behind is kept longer by as much, for the word that ends it takes that long to arrive.
+/// Time that messages may take on sockets: every time limit of the rules is longer by it. The release wait,
+/// after an attempt that may still hold circuits, is extended by the same time, as the message that ends the
+/// attempt takes that long to arrive.
 pub const SOCKET_DELAY_ALLOWANCE: Nanos = 50 * MS;
 
-/// The configuration file, as far as it is used.
+/// The configuration file. Unused keys are ignored.
 #[derive(Debug, Deserialize)]
 pub struct Config {
     /// The address that callers connect to.
     pub listen: std::net::SocketAddr,
-    /// Random seed, in hex digits.
+    /// Random seed, in hexadecimal digits.
     pub seed: String,
     /// The journal service's address.
     pub journal: std::net::SocketAddr,
-    /// The journal events up to now.
+    /// The journal events known at the start.
     #[serde(default)]
     pub known: JournalAnswer,
-    /// What the program may use.
+    /// Resource limits.
     pub limits: Limits,
-    /// The settings, as the simulator gives them.
+    /// The settings, in the simulator's format.
     pub settings: Value,
 }
 
-/// What the program may use.
+/// Resource limits of the process.
 #[derive(Debug, Deserialize)]
 pub struct Limits {
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
-    /// Memory.
-    #[serde(default = "usual_memory")]
+    /// Maximum memory, in MiB.
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: usize,
 }
 
-fn usual_memory() -> usize {
+fn default_memory_mb() -> usize {
     64
 }
 
-/// What follows from the limits: how much is kept at the most. Together it takes some five eighths of the
-/// memory; the program itself and what its allocator cannot give back have the rest.
+/// Maximum sizes derived from the limits. Together they take up to about five eighths of the memory; the rest
+/// is left for the process itself and for memory that the allocator cannot return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Connections from callers.
     pub max_callers: usize,
     /// Connections of all kinds.
     pub max_connections: usize,
-    /// Bytes of the set-ups that are owed an answer: a quarter of the memory.
+    /// Bytes of the set-ups that await a final answer: a quarter of the memory.
     pub max_open_bytes: usize,
-    /// Bytes in the buffers of all connections: a quarter.
+    /// Bytes allocated for the buffers of all connections: a quarter of the memory.
     pub max_buffered_bytes: usize,
-    /// Calls that stand; also ids of calls that ended lately, releases without a connection, and numbers that
-    /// were dialled. Each may take one of these kilobytes: an eighth.
+    /// Standing calls. The same maximum applies to ids of recently ended calls, to releases that wait for a
+    /// connection and to dialled numbers. At 1 KiB each, an eighth of the memory.
     pub max_standing_calls: usize,
 }
 
 impl Limits {
-    /// The bounds that keep within these limits.
+    /// The bounds that keep the process within these limits.
     pub fn bounds(&self) -> Bounds {
-        let (sockets, memory) = (self.sockets.max(64), self.memory_mb.max(16) * 1024 * 1024);
+        let (sockets, memory_bytes) = (self.sockets.max(64), self.memory_mb.max(16) * 1024 * 1024);
         Bounds {
             max_callers: sockets / 2,
             max_connections: sockets - 32,
-            max_open_bytes: memory / 4,
-            max_buffered_bytes: memory / 4,
-            max_standing_calls: (memory / 8 / 1024).min(20_000),
+            max_open_bytes: memory_bytes / 4,
+            max_buffered_bytes: memory_bytes / 4,
+            max_standing_calls: (memory_bytes / 8 / 1024).min(20_000),
         }
     }
 }
 
-/// An answer of the journal service.
+/// An answer from the journal service.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct JournalAnswer {
-    /// The last event there is.
+    /// Position of the last event.
     #[serde(default)]
     pub pos: u64,
-    /// The events, in order.
+    /// Events, in order.
     #[serde(default)]
     pub entries: Vec<JournalEvent>,
 }
 
-/// One event of the journal. Other kinds than `hosts` are skipped.
+/// A journal event. Only `hosts` events have an effect; others advance the position.
 #[derive(Clone, Debug, Deserialize)]
 pub struct JournalEvent {
     pos: u64,
     hosts: Option<Hosts>,
 }
 
+/// An update of the list of exchanges: all machines, or those that changed.
 #[derive(Clone, Debug, Deserialize)]
 struct Hosts {
     #[serde(default)]
@@ -105,47 +108,51 @@
 
 #[derive(Clone, Debug, Deserialize)]
 struct Host {
+    /// Identifies the machine across events.
     uid: String,
     endpoint: std::net::SocketAddr,
+    /// Name of the zone.
     #[serde(default)]
     az: String,
+    /// Number of the exchange.
     pod_group: u32,
-    state: State,
+    state: HostState,
+    /// When the machine started, in Unix milliseconds; 0 if unknown.
     #[serde(default)]
     boot_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
-enum State {
+enum HostState {
     Serving,
     Draining,
     Deleted,
 }
 
-/// Reads the configuration. The error is one plain line.
+/// Parses the configuration. The error is a single line.
 pub fn read_config(text: &str) -> Result<Config, String> {
     serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))
 }
 
-/// The settings in the forms that the parts need.
+/// The settings, parsed for the parts of the controller.
 #[derive(Debug)]
 pub struct ControllerSettings {
-    /// For the module.
+    /// Settings of the decision module.
     pub module: Settings,
-    /// Seed of the module's random numbers.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
     /// Names of the classes, by index.
     pub classes: Vec<String>,
-    /// A connection that is not up within this time never will be.
+    /// Time after which a connection that is not established is given up.
     pub connect_timeout: Nanos,
-    /// Open set-ups that are taken at the most.
+    /// Maximum number of open set-ups.
     pub max_open_set_ups: usize,
-    /// What the report of a group calls its free circuits and its size.
-    pub report: [String; 2],
+    /// Names of the fields for the free circuits and the size of a group in its reports.
+    pub report_fields: [String; 2],
 }
 
-/// Reads the settings through the same reader that serves the simulator's wire.
+/// Parses the settings with the parser of the simulator protocol, as both have the same format.
 pub fn read_settings(config: &Config) -> Result<ControllerSettings, String> {
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|e| format!("configuration: seed: {e}"))?;
     let settings = &config.settings;
@@ -153,144 +160,153 @@
     let (_, mut module, seed) = launch.and_then(|m| NameTable::from_launch(&m)).map_err(|e| e.to_string())?;
     module.validate().map_err(|e| format!("configuration: settings: {e}"))?;
     module.release_wait += SOCKET_DELAY_ALLOWANCE;
-    let grades = settings["grades"].as_array().into_iter().flatten();
+    let classes = settings["grades"].as_array().into_iter().flatten();
     let permissions = &settings["permissions"];
-    let field = |i: usize, usual: &str| settings["report"]["fields"][i].as_str().unwrap_or(usual).to_string();
+    let report_field =
+        |i: usize, default: &str| settings["report"]["fields"][i].as_str().unwrap_or(default).to_string();
     Ok(ControllerSettings {
         module,
         seed,
-        classes: grades.map(|g| g["name"].as_str().unwrap_or_default().to_string()).collect(),
+        classes: classes.map(|class| class["name"].as_str().unwrap_or_default().to_string()).collect(),
         connect_timeout: permissions["connect-timeout"].as_u64().filter(|t| *t > 0).unwrap_or(500 * MS),
         max_open_set_ups: permissions["max-open"].as_u64().unwrap_or(20_000) as usize,
-        report: [field(0, "spare"), field(1, "total")],
+        report_fields: [report_field(0, "spare"), report_field(1, "total")],
     })
 }
 
-/// One machine on the list, or one that has left it and still has calls.
+/// A machine on the list, or one that has left it and still has calls.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: std::net::SocketAddr,
-    /// The exchange's number.
+    /// Number of its exchange.
     pub number: u32,
-    /// What the journal says of it.
+    /// Its state in the journal.
     pub standing: ExchangeState,
-    /// When it started; `None` means long ago.
+    /// When it started; `None` if that was long ago or is unknown.
     pub since: Option<Nanos>,
     uid: String,
 }
 
-/// What a journal answer changed.
+/// The changes made by a journal answer.
 #[derive(Debug, Default)]
 pub struct DirectoryUpdate {
-    /// List events for the module, in order.
+    /// List events for the decision module, in order.
     pub lists: Vec<(ListUpdate, Vec<Entry>)>,
-    /// Machines whose process has ended: they left the list or started anew.
+    /// Machines whose process has ended: they left the list or were restarted.
     pub ended_exchanges: Vec<ExchangeId>,
 }
 
-fn zones(settings: &Value) -> Vec<String> {
+fn parse_zones(settings: &Value) -> Vec<String> {
     let zones = settings["dcs"].as_array().into_iter().flatten();
     zones.filter_map(|z| z.as_str().map(String::from)).collect()
 }
 
-/// The list of exchanges as the journal tells it.
+/// The list of exchanges, as reported by the journal.
 #[derive(Debug)]
 pub struct Directory {
+    /// Names of the zones, by index.
     zones: Vec<String>,
     machines: BTreeMap<ExchangeId, Machine>,
-    next: ExchangeId,
-    /// The last event taken in.
+    next_id: ExchangeId,
+    /// Position of the last journal event that was applied.
     pub position: u64,
-    listed: bool,
+    /// Whether a complete list was received.
+    has_complete_list: bool,
 }
 
 impl Directory {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new(settings: &Value) -> Directory {
-        Directory { zones: zones(settings), machines: BTreeMap::new(), next: 0, position: 0, listed: false }
+        Directory {
+            zones: parse_zones(settings),
+            machines: BTreeMap::new(),
+            next_id: 0,
+            position: 0,
+            has_complete_list: false,
+        }
     }
 
-    /// Takes the names of the zones from other settings.
+    /// Replaces the names of the zones by those in other settings.
     pub fn update_zones(&mut self, settings: &Value) {
-        self.zones = zones(settings);
+        self.zones = parse_zones(settings);
     }
 
-    /// A machine by the module's handle.
+    /// The machine with this id.
     pub fn machine(&self, id: ExchangeId) -> Option<&Machine> {
         self.machines.get(&id)
     }
 
-    /// All machines, those that have left included until they are dropped.
+    /// All machines, including those that have left the list and were not removed yet.
     pub fn machines(&self) -> impl Iterator<Item = (ExchangeId, &Machine)> {
         self.machines.iter().map(|(id, m)| (*id, m))
     }
 
-    /// Drops a machine that has left the list and has no more calls.
+    /// Removes a machine if it has left the list.
     pub fn remove_gone(&mut self, id: ExchangeId) {
-        self.machines.retain(|i, m| *i != id || m.standing != ExchangeState::Gone);
+        self.machines.retain(|other, m| *other != id || m.standing != ExchangeState::Gone);
     }
 
-    /// Takes in an answer of the journal. An error means that events are missing between those known and
-    /// those told: all have to be asked for again.
+    /// Applies an answer from the journal. An error means that events are missing between the last position
+    /// and the answer: the position is reset, so that all events are requested again.
     pub fn apply(&mut self, answer: JournalAnswer) -> Result<DirectoryUpdate, MissingEvents> {
-        let mut news = DirectoryUpdate::default();
+        let mut update = DirectoryUpdate::default();
         for event in answer.entries {
             if event.pos <= self.position {
                 continue;
             }
-            let whole = event.hosts.as_ref().is_some_and(|h| h.all);
-            if event.pos != self.position + 1 && !whole && self.position > 0 {
+            let is_complete = event.hosts.as_ref().is_some_and(|h| h.all);
+            if event.pos != self.position + 1 && !is_complete && self.position > 0 {
                 self.position = 0;
-                return Err(MissingEvents(news));
+                return Err(MissingEvents(update));
             }
             self.position = event.pos;
             if let Some(hosts) = event.hosts {
-                self.hosts(hosts, &mut news);
+                self.apply_hosts(hosts, &mut update);
             }
         }
-        Ok(news)
+        Ok(update)
     }
 
-    fn hosts(&mut self, hosts: Hosts, news: &mut DirectoryUpdate) {
-        let kind = match (hosts.all, self.listed) {
+    fn apply_hosts(&mut self, hosts: Hosts, update: &mut DirectoryUpdate) {
+        let kind = match (hosts.all, self.has_complete_list) {
             (false, _) => ListUpdate::Changes,
             (true, false) => ListUpdate::Restored,
             (true, true) => ListUpdate::Whole,
         };
-        self.listed |= hosts.all;
+        self.has_complete_list |= hosts.all;
         if hosts.all {
-            let named = |uid: &str| hosts.targets.iter().any(|h| h.uid == uid);
+            let is_listed = |uid: &str| hosts.targets.iter().any(|h| h.uid == uid);
             for (id, machine) in &mut self.machines {
-                if machine.standing != ExchangeState::Gone && !named(&machine.uid) {
+                if machine.standing != ExchangeState::Gone && !is_listed(&machine.uid) {
                     machine.standing = ExchangeState::Gone;
-                    news.ended_exchanges.push(*id);
+                    update.ended_exchanges.push(*id);
                 }
             }
         }
-        let entries = hosts.targets.into_iter().map(|h| self.host(h, news)).collect();
-        news.lists.push((kind, entries));
+        let entries = hosts.targets.into_iter().map(|host| self.apply_host(host, update)).collect();
+        update.lists.push((kind, entries));
     }
 
-    fn host(&mut self, host: Host, news: &mut DirectoryUpdate) -> Entry {
-        let known = self.machines.iter().find(|(_, m)| m.uid == host.uid).map(|(id, _)| *id);
-        let id = known.unwrap_or(self.next);
-        self.next = self.next.max(id + 1);
+    fn apply_host(&mut self, host: Host, update: &mut DirectoryUpdate) -> Entry {
+        let known_id = self.machines.iter().find(|(_, m)| m.uid == host.uid).map(|(id, _)| *id);
+        let id = known_id.unwrap_or(self.next_id);
+        self.next_id = self.next_id.max(id + 1);
         let since = Some(host.boot_ms * MS).filter(|t| *t > 0);
         let standing = match host.state {
-            State::Serving => ExchangeState::Up,
-            State::Draining => ExchangeState::Draining,
-            State::Deleted => ExchangeState::Gone,
+            HostState::Serving => ExchangeState::Up,
+            HostState::Draining => ExchangeState::Draining,
+            HostState::Deleted => ExchangeState::Gone,
         };
-        if let Some(old) = self.machines.get(&id) {
-            let gone = standing == ExchangeState::Gone && old.standing != ExchangeState::Gone;
-            if gone || old.since != since {
-                news.ended_exchanges.push(id);
+        if let Some(previous) = self.machines.get(&id) {
+            let has_left = standing == ExchangeState::Gone && previous.standing != ExchangeState::Gone;
+            if has_left || previous.since != since {
+                update.ended_exchanges.push(id);
             }
         }
         let number = host.pod_group;
         let zone = self.zones.iter().position(|z| *z == host.az).unwrap_or(self.zones.len()) as u32;
-        if known.is_some() || standing != ExchangeState::Gone {
+        if known_id.is_some() || standing != ExchangeState::Gone {
             let (address, uid) = (host.endpoint, host.uid);
             self.machines.insert(id, Machine { address, number, standing, since, uid });
         }
@@ -298,7 +314,7 @@
     }
 }
 
-/// Events are missing; what came before the gap was taken in.
+/// Events are missing. Holds the changes by the events before the gap, which were applied.
 #[derive(Debug)]
 pub struct MissingEvents(pub DirectoryUpdate);
 
@@ -306,7 +322,7 @@
 mod tests {
     use super::*;
 
-    /// Uid, state and `boot_ms`.
+    /// Uid, state and `boot_ms` of a machine.
     type Target = (&'static str, &'static str, u64);
 
     fn answer(events: &[(u64, bool, &[Target])]) -> JournalAnswer {
@@ -322,21 +338,21 @@
 
     fn directory() -> Directory {
         let mut directory = Directory::new(&json!({"dcs": ["a", "b"]}));
-        let first: &[_] = &[("s-1", "SERVING", 0), ("s-2", "SERVING", 0)];
-        let news = directory.apply(answer(&[(1, true, first)])).unwrap();
-        assert_eq!(news.lists[0].0, ListUpdate::Restored);
-        assert_eq!(news.lists[0].1[0].zone, 1);
+        let machines: &[_] = &[("s-1", "SERVING", 0), ("s-2", "SERVING", 0)];
+        let update = directory.apply(answer(&[(1, true, machines)])).unwrap();
+        assert_eq!(update.lists[0].0, ListUpdate::Restored);
+        assert_eq!(update.lists[0].1[0].zone, 1);
         directory
     }
 
     #[test]
-    fn a_restart_and_a_deletion_end_a_machine_and_a_drain_does_not() {
+    fn restart_or_deletion_ends_a_machine_and_drain_does_not() {
         let mut directory = directory();
         let events: &[_] = &[("s-1", "DRAINING", 0), ("s-2", "SERVING", 1_796_136_102_515)];
-        let news = directory.apply(answer(&[(1, false, events), (2, false, events)])).unwrap();
-        assert_eq!(news.lists.len(), 1, "an event that is known is not told again");
-        assert_eq!(news.lists[0].1[1].since, Some(1_796_136_102_515_000_000));
-        assert_eq!(news.ended_exchanges, vec![1]);
+        let update = directory.apply(answer(&[(1, false, events), (2, false, events)])).unwrap();
+        assert_eq!(update.lists.len(), 1, "a known event is not applied again");
+        assert_eq!(update.lists[0].1[1].since, Some(1_796_136_102_515_000_000));
+        assert_eq!(update.ended_exchanges, vec![1]);
         let events: &[_] = &[("s-1", "DELETED", 0), ("s-7", "DELETED", 0)];
         assert_eq!(directory.apply(answer(&[(3, false, events)])).unwrap().ended_exchanges, vec![0]);
         directory.remove_gone(0);
@@ -344,13 +360,13 @@
     }
 
     #[test]
-    fn missing_events_are_asked_for_from_the_start_and_a_whole_list_ends_who_is_not_on_it() {
+    fn missing_events_reset_the_position_and_complete_list_ends_unlisted_machines() {
         let mut directory = directory();
-        let one: &[_] = &[("s-1", "SERVING", 0)];
-        assert!(directory.apply(answer(&[(4, false, one)])).is_err());
+        let only_first: &[_] = &[("s-1", "SERVING", 0)];
+        assert!(directory.apply(answer(&[(4, false, only_first)])).is_err());
         assert_eq!(directory.position, 0);
-        let news = directory.apply(answer(&[(1, true, one), (2, false, one)])).unwrap();
-        assert_eq!((news.lists[0].0, news.ended_exchanges), (ListUpdate::Whole, vec![1]));
+        let update = directory.apply(answer(&[(1, true, only_first), (2, false, only_first)])).unwrap();
+        assert_eq!((update.lists[0].0, update.ended_exchanges), (ListUpdate::Whole, vec![1]));
         assert_eq!(directory.position, 2);
     }
 }
--- a/dillhold/src/session/caller.rs
+++ b/dillhold/src/session/caller.rs
@@ -1,4 +1,4 @@
-//! A connection from callers, in binary messages.
+//! Session of a connection from callers, which uses the binary protocol.
 
 use std::collections::VecDeque;
 
@@ -7,68 +7,70 @@
 use crate::call::{CallerConnId, CallerNotification, CallerRequest, Calls, SetUp};
 use crate::clock::MS;
 use crate::codec::binary::{self, kind, param, Message};
-use crate::codec::{attributes, Unreadable, MAX_MESSAGE_BYTES};
-use crate::session::{drain, ReadBuffer, WriteBuffer};
+use crate::codec::{attributes, ParseError, MAX_MESSAGE_BYTES};
+use crate::session::{process_messages, ReadBuffer, WriteBuffer};
 
-/// Refused for want of room on the way (Q.850 42, switching equipment congestion): trying again is harmless.
-const REFUSED: u8 = 42;
-/// Failed (Q.850 41, temporary failure).
-const FAILED: u8 = 41;
-/// Releases not known to be heard that are kept, and for how long.
-const UNHEARD_KEPT: usize = 1024;
-const UNHEARD_FOR: Nanos = 1_000 * MS;
+/// Q.850 cause 42, switching equipment congestion: the set-up was refused and can be retried safely.
+const CAUSE_CONGESTION: u8 = 42;
+/// Q.850 cause 41, temporary failure: the set-up failed.
+const CAUSE_TEMPORARY_FAILURE: u8 = 41;
+/// Unacknowledged releases that are kept; the oldest are evicted first.
+const MAX_UNACKED_RELEASES: usize = 1024;
+/// How long a release may be repeated on another connection. Acknowledging a release is optional for callers.
+const UNACKED_RELEASE_RETENTION: Nanos = 1_000 * MS;
 
-/// Messages that cannot be served after which a connection is closed. Soon after a start callers release
-/// calls of before it, which are not known here either.
-const MOST_FAULTS: u32 = 250;
-/// Longest number called; bytes that a set-up takes in SIP beside number and description.
-const MOST_NUMBER: usize = 128;
-const SIP_HEAD: usize = 512;
-/// Circuits that one call can take at the most.
-const MOST_WIDTH: u32 = 1024;
+/// A connection is closed after more rejected messages than this. It is not lower because callers release
+/// calls from before a restart, which are unknown here.
+const MAX_REJECTED_MESSAGES: u32 = 250;
+/// Longest called number.
+const MAX_CALLED_NUMBER_BYTES: usize = 128;
+/// Size of a set-up in SIP without called number, class and description.
+const SIP_OVERHEAD_BYTES: usize = 512;
+/// Most circuits that one call can seize on a group.
+const MAX_CALL_WIDTH: u32 = 1024;
 
-/// The state of one connection.
+/// State of one connection.
 #[derive(Debug, Default)]
 pub struct CallerSession {
-    /// It was told that a call stands: there is a caller at its other end, and not just anybody.
+    /// Whether a call was answered on it, which shows that there is a caller at the other end.
     pub confirmed: bool,
-    /// It was told anything of a call.
+    /// Whether any notification was sent on it.
     pub notified: bool,
-    /// When a whole message last came.
+    /// When the last complete message was received.
     pub last_message_at: Nanos,
-    faults: u32,
-    /// Releases said here and not heard yet, in order.
-    unheard: VecDeque<(Nanos, u64, u8)>,
-    /// What came.
+    rejected_messages: u32,
+    /// Releases that the caller has not acknowledged, oldest first: when they were sent, call id and cause.
+    unacked_releases: VecDeque<(Nanos, u64, u8)>,
+    /// Received bytes.
     pub read_buffer: ReadBuffer,
-    /// What is to be written.
+    /// Bytes to be written.
     pub write_buffer: WriteBuffer,
 }
 
 impl CallerSession {
-    /// Takes in what is in the read_buffer. An error means that the connection has to be closed.
+    /// Processes the messages in the read buffer. After an error the connection has to be closed.
     pub fn process_input(
         &mut self,
         now: Nanos,
-        link: CallerConnId,
+        conn: CallerConnId,
         calls: &mut Calls,
-    ) -> Result<(), Unreadable> {
-        let (out, unheard) = (&mut self.write_buffer, &mut self.unheard);
-        let (heard, faults) = (&mut self.last_message_at, &mut self.faults);
-        drain(&mut self.read_buffer, |rest| {
-            let Some((message, taken)) = binary::parse(rest)? else { return Ok(None) };
-            *heard = now;
+    ) -> Result<(), ParseError> {
+        let (out, unacked_releases) = (&mut self.write_buffer, &mut self.unacked_releases);
+        let (last_message_at, rejected_messages) = (&mut self.last_message_at, &mut self.rejected_messages);
+        process_messages(&mut self.read_buffer, |unread| {
+            let Some((message, consumed)) = binary::parse(unread)? else { return Ok(None) };
+            *last_message_at = now;
             match message.kind {
                 kind::SET_UP => {
-                    let said = set_up(&message);
-                    let served = calls.handle_caller_request(now, link, said);
-                    *faults += u32::from(!served);
+                    let request = parse_set_up(&message);
+                    let accepted = calls.handle_caller_request(now, conn, request);
+                    *rejected_messages += u32::from(!accepted);
                 }
                 kind::RELEASE => {
                     let (call_id, cause) = (message.call_id, message.cause().unwrap_or(16));
                     let known =
-                        calls.handle_caller_request(now, link, CallerRequest::Release { call_id, cause });
-                    *faults += u32::from(!known);
+                        calls.handle_caller_request(now, conn, CallerRequest::Release { call_id, cause });
+                    *rejected_messages += u32::from(!known);
                 }
                 kind::TEST => {
                     calls.counters.increment("answered tests");
@@ -79,35 +81,37 @@
                         &[(param::CAUSE, &[1])],
                     );
                 }
-                kind::RELEASE_ACK => unheard.retain(|(_, id, _)| *id != message.call_id),
+                kind::RELEASE_ACK => unacked_releases.retain(|(_, id, _)| *id != message.call_id),
                 _ => {
                     calls.counters.increment("taken messages skipped");
-                    *faults += 1;
+                    *rejected_messages += 1;
                 }
             }
-            // Whoever sends nothing but what cannot be served, again and again, takes turns from the others.
-            if *faults > MOST_FAULTS {
-                return Err(Unreadable::Malformed);
+            // A client that keeps sending messages which cannot be served takes processing time from the
+            // others.
+            if *rejected_messages > MAX_REJECTED_MESSAGES {
+                return Err(ParseError::Malformed);
             }
-            Ok(Some(taken))
+            Ok(Some(consumed))
         })
     }
 
-    /// Whether nothing that could not be served has come, and no half message waits.
+    /// Whether no message was rejected and none is incomplete.
     pub fn is_well_behaved(&self) -> bool {
-        self.faults == 0 && self.read_buffer.unread().is_empty()
+        self.rejected_messages == 0 && self.read_buffer.unread().is_empty()
     }
 
-    /// All that was written arrives: the connection is closed in order.
+    /// Treats all releases as acknowledged: the connection is closed in an orderly way, so everything written
+    /// to it arrives.
     pub fn acknowledge_releases(&mut self) {
-        self.unheard.clear();
+        self.unacked_releases.clear();
     }
 
-    /// Writes what a caller is told.
-    pub fn send(&mut self, now: Nanos, id: u64, say: &CallerNotification) {
+    /// Writes a notification.
+    pub fn send(&mut self, now: Nanos, id: u64, notification: &CallerNotification) {
         self.notified = true;
         let out = self.write_buffer.buffer();
-        match say {
+        match notification {
             CallerNotification::Answer(description) => {
                 self.confirmed = true;
                 let parameters = [(param::DESCRIPTION, &description[..])];
@@ -115,18 +119,23 @@
                     .append_tracked((id, 0), |out| binary::write(out, kind::ANSWER, id, &parameters));
             }
             CallerNotification::Refused(0) => {
-                binary::write(out, kind::RELEASE, id, &[(param::CAUSE, &[REFUSED])])
+                binary::write(out, kind::RELEASE, id, &[(param::CAUSE, &[CAUSE_CONGESTION])])
             }
             CallerNotification::Refused(pause) => {
-                let pause = pause.div_ceil(MS).to_string();
-                let parameters = [(param::CAUSE, &[REFUSED][..]), (param::RETRY_AFTER_MS, pause.as_bytes())];
+                let retry_after_ms = pause.div_ceil(MS).to_string();
+                let parameters = [
+                    (param::CAUSE, &[CAUSE_CONGESTION][..]),
+                    (param::RETRY_AFTER_MS, retry_after_ms.as_bytes()),
+                ];
                 binary::write(out, kind::RELEASE, id, &parameters);
             }
-            CallerNotification::Failed => binary::write(out, kind::RELEASE, id, &[(param::CAUSE, &[FAILED])]),
+            CallerNotification::Failed => {
+                binary::write(out, kind::RELEASE, id, &[(param::CAUSE, &[CAUSE_TEMPORARY_FAILURE])])
+            }
             CallerNotification::Released(cause) => {
-                self.unheard.push_back((now, id, *cause));
-                while self.unheard.len() > UNHEARD_KEPT {
-                    self.unheard.pop_front();
+                self.unacked_releases.push_back((now, id, *cause));
+                while self.unacked_releases.len() > MAX_UNACKED_RELEASES {
+                    self.unacked_releases.pop_front();
                 }
                 binary::write(out, kind::RELEASE, id, &[(param::CAUSE, &[*cause])]);
             }
@@ -134,34 +143,35 @@
     }
 }
 
-/// What a lost connection leaves behind.
+/// Notifications that a lost connection may not have delivered.
 #[derive(Debug)]
 pub struct Undelivered {
-    /// Calls whose answer has not left whole.
+    /// Ids of the calls whose answer was not written completely.
     pub answers: Vec<u64>,
-    /// Releases that may not have arrived. A caller need not tell that it heard one, so those of long ago are
-    /// not among them.
+    /// Call ids and causes of recent releases that were not acknowledged. Older ones are left out, as callers
+    /// need not acknowledge a release.
     pub releases: Vec<(u64, u8)>,
 }
 
 impl CallerSession {
-    /// The connection is gone.
+    /// Ends the session of a connection that was lost.
     pub fn into_undelivered(mut self, now: Nanos) -> Undelivered {
-        let lately = self.unheard.iter().filter(|(at, ..)| now < at + UNHEARD_FOR);
+        let recent_releases =
+            self.unacked_releases.iter().filter(|(sent_at, ..)| now < sent_at + UNACKED_RELEASE_RETENTION);
         Undelivered {
-            releases: lately.map(|(_, id, cause)| (*id, *cause)).collect(),
+            releases: recent_releases.map(|(_, id, cause)| (*id, *cause)).collect(),
             answers: self.write_buffer.clear().into_iter().map(|(id, _)| id).collect(),
         }
     }
 }
 
-/// A whole number in text, zero or above.
-fn number<T: std::str::FromStr>(text: &[u8]) -> Option<T> {
+/// Parses a decimal number in text.
+fn parse_number<T: std::str::FromStr>(text: &[u8]) -> Option<T> {
     std::str::from_utf8(text).ok().and_then(|t| t.trim().parse().ok())
 }
 
-fn set_up<'a>(message: &Message<'a>) -> CallerRequest<'a> {
-    let mut s = SetUp {
+fn parse_set_up<'a>(message: &Message<'a>) -> CallerRequest<'a> {
+    let mut set_up = SetUp {
         call_id: message.call_id,
         class: message.parameter(param::CLASS).unwrap_or_default(),
         timeout: 0,
@@ -173,35 +183,48 @@
         is_redial: false,
         description: message.parameter(param::DESCRIPTION).unwrap_or_default(),
     };
-    // A figure that is no number, or that no call can have, is not taken for one that was left out.
-    let mut sound = true;
-    let mut read = |value, least: i64, most: i64| {
-        let found: Option<i64> = number(value).filter(|n| (least..=most).contains(n));
-        sound &= found.is_some();
-        found.and_then(|n| u32::try_from(n).ok())
+    // An attribute that is malformed or out of range invalidates the set-up; it does not count as absent.
+    let mut attributes_valid = true;
+    let mut parse_attribute = |value, min: i64, max: i64| {
+        let parsed: Option<i64> = parse_number(value).filter(|n| (min..=max).contains(n));
+        attributes_valid &= parsed.is_some();
+        parsed.and_then(|n| u32::try_from(n).ok())
     };
     for (name, value) in attributes(message.parameter(param::ATTRIBUTES).unwrap_or_default()) {
         match name {
-            b"dest" => s.destination = read(value, 0, i64::from(u32::MAX) - 1).unwrap_or(u32::MAX),
-            b"width" => s.width = read(value, 1, i64::from(MOST_WIDTH)),
-            b"via" => s.advised_tandem = read(value, -1, i64::from(u32::MAX) - 1),
-            b"transit" => s.in_transit = read(value, 0, 1) == Some(1),
-            b"again" => s.is_redial = read(value, 0, 1) == Some(1),
+            b"dest" => {
+                set_up.destination = parse_attribute(value, 0, i64::from(u32::MAX) - 1).unwrap_or(u32::MAX)
+            }
+            b"width" => set_up.width = parse_attribute(value, 1, i64::from(MAX_CALL_WIDTH)),
+            b"via" => set_up.advised_tandem = parse_attribute(value, -1, i64::from(u32::MAX) - 1),
+            b"transit" => set_up.in_transit = parse_attribute(value, 0, 1) == Some(1),
+            b"again" => set_up.is_redial = parse_attribute(value, 0, 1) == Some(1),
             _ => {}
         }
     }
-    let wait: Option<u32> = message.parameter(param::TIMEOUT_MS).and_then(number).filter(|ms| *ms > 0);
-    s.timeout = Nanos::from(wait.unwrap_or(0)) * MS;
-    // What goes into a line of text must not break it, and what goes to an exchange must fit in a message: an
-    // exchange closes the connection on what it cannot read, with the calls of others open on it.
-    let clean = |b: &u8| b.is_ascii_alphanumeric() || b"-_.+*#!~$&=,;/".contains(b);
-    let dialled = (1..=MOST_NUMBER).contains(&s.called_number.len()) && s.called_number.iter().all(clean);
-    let fits = SIP_HEAD + s.called_number.len() + s.class.len() + s.description.len() <= MAX_MESSAGE_BYTES;
-    let described = message.parameter(param::DESCRIPTION).is_some();
-    let named = s.call_id != 0 && s.destination != u32::MAX;
-    if sound && named && dialled && described && fits && wait.is_some() {
-        CallerRequest::SetUp(s)
+    let timeout_ms: Option<u32> =
+        message.parameter(param::TIMEOUT_MS).and_then(parse_number).filter(|ms| *ms > 0);
+    set_up.timeout = Nanos::from(timeout_ms.unwrap_or(0)) * MS;
+    // The called number must not break the SIP lines it is written to, and the set-up must fit in one message
+    // to an exchange. An exchange closes the connection on input it cannot parse, which affects the other
+    // calls on it.
+    let is_allowed = |b: &u8| b.is_ascii_alphanumeric() || b"-_.+*#!~$&=,;/".contains(b);
+    let number_valid = (1..=MAX_CALLED_NUMBER_BYTES).contains(&set_up.called_number.len())
+        && set_up.called_number.iter().all(is_allowed);
+    let fits_in_message =
+        SIP_OVERHEAD_BYTES + set_up.called_number.len() + set_up.class.len() + set_up.description.len()
+            <= MAX_MESSAGE_BYTES;
+    let has_description = message.parameter(param::DESCRIPTION).is_some();
+    let has_ids = set_up.call_id != 0 && set_up.destination != u32::MAX;
+    if attributes_valid
+        && has_ids
+        && number_valid
+        && has_description
+        && fits_in_message
+        && timeout_ms.is_some()
+    {
+        CallerRequest::SetUp(set_up)
     } else {
-        CallerRequest::InvalidSetUp(s.call_id)
+        CallerRequest::InvalidSetUp(set_up.call_id)
     }
 }
--- a/dillhold/src/session/exchange.rs
+++ b/dillhold/src/session/exchange.rs
@@ -1,5 +1,5 @@
-//! The link to one exchange, in SIP. It outlives its connections: releases that were not heard are said again
-//! on the next one.
+//! Session of the link to one exchange, which uses SIP. It outlives single connections: unacknowledged
+//! releases are repeated on the next one.
 
 use std::collections::BTreeMap;
 
@@ -8,124 +8,138 @@
 use crate::call::{Calls, ExchangeEvent, ExchangeRequest};
 use crate::clock::MS;
 use crate::codec::sip::{self, Message, StartLine};
-use crate::codec::{attributes, parse_call_id, Unreadable};
-use crate::session::{drain, ReadBuffer, WriteBuffer};
+use crate::codec::{attributes, parse_call_id, ParseError};
+use crate::session::{process_messages, ReadBuffer, WriteBuffer};
 
-/// Bytes that wait for an exchange at the most; past that its set-ups are not sent.
-const WAITING: usize = 128 * 1024;
-/// Releases not yet heard that are kept; the oldest goes first. All are said again at once on a new
-/// connection, which is closed when more than 256 KiB wait there.
-const UNHEARD_KEPT: usize = 1024;
+/// Set-ups are not sent while more bytes than this are pending.
+const MAX_PENDING_BYTES: usize = 128 * 1024;
+/// Unacknowledged releases that are kept; the one with the lowest call id is evicted first. All of them are
+/// repeated at once on a new connection, which is closed when more than 256 KiB are pending on it.
+const MAX_UNACKED_RELEASES: usize = 1024;
 
-/// The state of one link.
+/// State of one link.
 #[derive(Debug, Default)]
 pub struct ExchangeSession {
-    /// What came.
+    /// Received bytes.
     pub read_buffer: ReadBuffer,
-    /// What is to be written on the present connection, or on the next one.
+    /// Bytes to be written on the current connection, or on the next one.
     pub write_buffer: WriteBuffer,
-    /// Since when the message that has begun to come has not become whole.
+    /// Since when the message being received has been incomplete.
     pub incomplete_since: Option<Nanos>,
-    /// Something was asked of the exchange on the present connection, or will be on the next one.
+    /// Whether a request was written for the current connection, or for the next one.
     pub has_requests: bool,
-    /// Releases said and not heard yet: by call the cause.
-    unheard: BTreeMap<u64, u8>,
+    /// Causes of the releases that the exchange has not acknowledged, by call id.
+    unacked_releases: BTreeMap<u64, u8>,
 }
 
 impl ExchangeSession {
-    /// Takes in what is in the read_buffer. An error means that the connection has to be closed.
+    /// Processes the messages in the read buffer. After an error the connection has to be closed.
     pub fn process_input(
         &mut self,
         now: Nanos,
         from: ExchangeId,
         calls: &mut Calls,
-    ) -> Result<(), Unreadable> {
-        let (out, unheard) = (&mut self.write_buffer, &mut self.unheard);
-        let (before, mut whole) = (self.incomplete_since, false);
-        drain(&mut self.read_buffer, |rest| {
-            let Some((message, taken)) = sip::parse(rest)? else { return Ok(None) };
+    ) -> Result<(), ParseError> {
+        let (out, unacked_releases) = (&mut self.write_buffer, &mut self.unacked_releases);
+        let (incomplete_since, mut completed) = (self.incomplete_since, false);
+        process_messages(&mut self.read_buffer, |unread| {
+            let Some((message, consumed)) = sip::parse(unread)? else { return Ok(None) };
             match message.start_line {
-                StartLine::Request(method) => request(now, from, method, &message, out.buffer(), calls),
+                StartLine::Request(method) => {
+                    handle_request(now, from, method, &message, out.buffer(), calls)
+                }
                 StartLine::Response(code) => {
-                    let sequence = message.cseq();
-                    match (message.call_id(), sequence) {
+                    let cseq = message.cseq();
+                    match (message.call_id(), cseq) {
                         (Some(id), Some((number, b"INVITE"))) => {
-                            invited(now, from, code, (id, number), &message, out.buffer(), calls);
+                            handle_set_up_response(
+                                now,
+                                from,
+                                code,
+                                (id, number),
+                                &message,
+                                out.buffer(),
+                                calls,
+                            );
                         }
                         (Some(id), Some((_, b"BYE"))) if code >= 200 => {
-                            unheard.remove(&id);
+                            unacked_releases.remove(&id);
                         }
                         (Some(_), Some(_)) => {}
-                        // What answers nobody knows what is spoilt, and so may be what follows it.
-                        _ => return Err(Unreadable::Malformed),
+                        // A response that cannot be matched to a request is corrupt, and the bytes after it
+                        // may be too.
+                        _ => return Err(ParseError::Malformed),
                     }
                 }
             }
-            whole = true;
-            Ok(Some(taken))
+            completed = true;
+            Ok(Some(consumed))
         })?;
-        let since = before.filter(|_| !whole).unwrap_or(now);
+        let since = incomplete_since.filter(|_| !completed).unwrap_or(now);
         self.incomplete_since = Some(since).filter(|_| !self.read_buffer.unread().is_empty());
         Ok(())
     }
 
-    /// Writes what the exchange is told. False: a set-up that does not go out.
-    pub fn send(&mut self, id: u64, say: &ExchangeRequest) -> bool {
+    /// Writes a request. Returns false for a set-up that is not sent because too many bytes are pending.
+    pub fn send(&mut self, id: u64, request: &ExchangeRequest) -> bool {
         self.has_requests = true;
-        match say {
+        match request {
             ExchangeRequest::SetUp { attempt, timeout, class, called_number, description } => {
-                if self.write_buffer.pending().len() > WAITING {
+                if self.write_buffer.pending().len() > MAX_PENDING_BYTES {
                     return false;
                 }
-                // A release of an earlier attempt, said again, would end this one.
-                self.unheard.remove(&id);
-                let (class, number) =
+                // Repeating the release of an earlier attempt would end this one.
+                self.unacked_releases.remove(&id);
+                let (class, called_number) =
                     (String::from_utf8_lossy(class), String::from_utf8_lossy(called_number));
-                let (uri, wait) = (format!("sip:{number}@net"), timeout / MS);
+                let (uri, timeout_ms) = (format!("sip:{called_number}@net"), timeout / MS);
                 self.write_buffer.append_tracked((id, *attempt), |out| {
-                    let further = format_args!("X-Service: {class}\r\nX-Setup-Ms: {wait}\r\n");
-                    request_line(out, "INVITE", &uri, id, attempt + 1, further, description);
+                    let headers = format_args!("X-Service: {class}\r\nX-Setup-Ms: {timeout_ms}\r\n");
+                    write_request(out, "INVITE", &uri, id, attempt + 1, headers, description);
                 });
             }
             ExchangeRequest::CancelAttempt { attempt } => {
-                // A set-up that has not begun to leave is taken back: sent late it would cross the next one.
-                if self.write_buffer.withdraw(|m| m == (id, *attempt)).is_empty() {
+                // A set-up that has not begun to be written is withdrawn: sent late, it would cross the next
+                // one.
+                if self.write_buffer.withdraw(|tracked| tracked == (id, *attempt)).is_empty() {
                     let out = self.write_buffer.buffer();
-                    request_line(out, "CANCEL", "sip:call@net", id, attempt + 1, format_args!(""), b"");
+                    write_request(out, "CANCEL", "sip:call@net", id, attempt + 1, format_args!(""), b"");
                 }
             }
-            // Anybody can name calls that do not exist: what is said of them must not crowd out the rest.
-            ExchangeRequest::ReleaseUnknown(_) if self.write_buffer.pending().len() > WAITING / 2 => {}
+            // Any client can name calls that do not exist; their releases must not displace other requests.
+            ExchangeRequest::ReleaseUnknown(_)
+                if self.write_buffer.pending().len() > MAX_PENDING_BYTES / 2 => {}
             ExchangeRequest::ReleaseUnknown(cause) => self.write_release(id, *cause),
             ExchangeRequest::Release(cause) => {
                 self.write_release(id, *cause);
-                if self.unheard.len() >= UNHEARD_KEPT {
-                    self.unheard.pop_first();
+                if self.unacked_releases.len() >= MAX_UNACKED_RELEASES {
+                    self.unacked_releases.pop_first();
                 }
-                self.unheard.insert(id, *cause);
+                self.unacked_releases.insert(id, *cause);
             }
         }
         true
     }
 
     fn write_release(&mut self, id: u64, cause: u8) {
-        let further = format_args!("Reason: Q.850;cause={cause}\r\n");
-        request_line(self.write_buffer.buffer(), "BYE", "sip:call@net", id, 1000, further, b"");
+        let headers = format_args!("Reason: Q.850;cause={cause}\r\n");
+        write_request(self.write_buffer.buffer(), "BYE", "sip:call@net", id, 1000, headers, b"");
     }
 
-    /// The connection is gone, or never came up. Tells the attempts whose set-up had not left whole.
+    /// Resets the session after its connection was lost or could not be established. Returns the call ids and
+    /// attempt numbers of the set-ups that were not written completely.
     pub fn connection_lost(&mut self) -> Vec<(u64, u32)> {
         (self.read_buffer, self.incomplete_since) = (ReadBuffer::default(), None);
         let unsent = self.write_buffer.clear();
-        self.has_requests = !self.unheard.is_empty();
-        for (id, cause) in std::mem::take(&mut self.unheard) {
+        self.has_requests = !self.unacked_releases.is_empty();
+        for (id, cause) in std::mem::take(&mut self.unacked_releases) {
             self.write_release(id, cause);
-            self.unheard.insert(id, cause);
+            self.unacked_releases.insert(id, cause);
         }
         unsent
     }
 
-    /// Takes back the set-ups that have not begun to leave.
+    /// Withdraws the set-ups that have not begun to be written. Returns their call ids and attempt numbers.
     pub fn withdraw_set_ups(&mut self) -> Vec<(u64, u32)> {
         self.write_buffer.withdraw(|_| true)
     }
@@ -136,21 +150,21 @@
     }
 }
 
-fn request_line(
+fn write_request(
     out: &mut Vec<u8>,
     method: &str,
     uri: &str,
     id: u64,
-    number: u32,
-    further: std::fmt::Arguments<'_>,
+    cseq_number: u32,
+    headers: std::fmt::Arguments<'_>,
     body: &[u8],
 ) {
-    let call = format!("{id:016x}");
-    let line = format_args!("{method} {uri} SIP/2.0");
-    sip::write(out, line, call.as_bytes(), (number, method), further, body);
+    let call_id = format!("{id:016x}");
+    let start_line = format_args!("{method} {uri} SIP/2.0");
+    sip::write(out, start_line, call_id.as_bytes(), (cseq_number, method), headers, body);
 }
 
-fn request(
+fn handle_request(
     now: Nanos,
     from: ExchangeId,
     method: &[u8],
@@ -160,7 +174,7 @@
 ) {
     match method {
         b"BYE" => {
-            respond(message, "BYE", out);
+            write_ok_response(message, "BYE", out);
             if let Some(call_id) = parse_call_id(message.raw_call_id()) {
                 let cause = message.cause().unwrap_or(16);
                 calls.handle_exchange_event(now, from, ExchangeEvent::Released { call_id, cause });
@@ -168,48 +182,49 @@
         }
         b"OPTIONS" => {
             calls.counters.increment("answered tests");
-            respond(message, "OPTIONS", out);
+            write_ok_response(message, "OPTIONS", out);
         }
         b"NOTIFY" => {
-            let report = report(message, calls);
+            let report = parse_group_report(message, calls);
             calls.handle_exchange_event(now, from, ExchangeEvent::GroupReport(report));
         }
         _ => calls.counters.increment("taken messages skipped"),
     }
 }
 
-fn respond(message: &Message<'_>, method: &str, out: &mut Vec<u8>) {
-    let number = message.cseq().map_or(1, |(number, _)| number);
-    let line = format_args!("SIP/2.0 200 OK");
-    sip::write(out, line, message.raw_call_id(), (number, method), format_args!(""), b"");
+fn write_ok_response(message: &Message<'_>, method: &str, out: &mut Vec<u8>) {
+    let cseq_number = message.cseq().map_or(1, |(number, _)| number);
+    let start_line = format_args!("SIP/2.0 200 OK");
+    sip::write(out, start_line, message.raw_call_id(), (cseq_number, method), format_args!(""), b"");
 }
 
-/// A response to a set-up. Which attempt it speaks of is not told: exchanges give the number of `CSeq` as
-/// they like.
-fn invited(
+/// Handles a response to a set-up. It does not identify the attempt: exchanges choose the number of `CSeq`
+/// freely.
+fn handle_set_up_response(
     now: Nanos,
     from: ExchangeId,
     code: u16,
-    (call_id, number): (u64, u32),
+    (call_id, cseq_number): (u64, u32),
     message: &Message<'_>,
     out: &mut Vec<u8>,
     calls: &mut Calls,
 ) {
     if code < 200 {
-        return; // progress means nothing
+        return; // provisional responses are ignored
     }
-    request_line(out, "ACK", "sip:call@net", call_id, number, format_args!(""), b"");
-    let said = if code < 300 {
+    write_request(out, "ACK", "sip:call@net", call_id, cseq_number, format_args!(""), b"");
+    let event = if code < 300 {
         ExchangeEvent::Answered { call_id, description: message.body }
     } else {
-        let (outcome, cause) = ending(code, message);
-        ExchangeEvent::AttemptEnded { call_id, outcome, cause, report: report(message, calls) }
+        let (outcome, cause) = parse_failure(code, message);
+        ExchangeEvent::AttemptEnded { call_id, outcome, cause, report: parse_group_report(message, calls) }
     };
-    calls.handle_exchange_event(now, from, said);
+    calls.handle_exchange_event(now, from, event);
 }
 
-fn ending(code: u16, message: &Message<'_>) -> (Outcome, Cause) {
-    let wait = || {
+/// The outcome and cause that a failure response to a set-up states.
+fn parse_failure(code: u16, message: &Message<'_>) -> (Outcome, Cause) {
+    let queue_wait = || {
         let ms = message.header("X-Queue-Ms").and_then(|v| std::str::from_utf8(v).ok());
         ms.and_then(|v| v.parse::<u32>().ok()).filter(|ms| *ms > 0).map(|ms| Nanos::from(ms) * MS)
     };
@@ -217,7 +232,7 @@
         b"no_circuit" => Cause::NoCircuit,
         b"turned_back" => Cause::TurnedBack,
         b"far_overload" => Cause::FullBeyond,
-        b"overload" => Cause::ProcessorFull(wait()),
+        b"overload" => Cause::ProcessorFull(queue_wait()),
         b"lines_busy" => Cause::NumberBusy,
         _ => Cause::Untold,
     };
@@ -230,14 +245,15 @@
     (outcome, cause)
 }
 
-/// The state of the group, where it is told: `X-Group: spare:81;total:81`, with the names of the settings.
-fn report(message: &Message<'_>, calls: &Calls) -> LoadReport {
+/// The state of the group, if the message has one: `X-Group: spare:81;total:81`, with the field names from
+/// the settings.
+fn parse_group_report(message: &Message<'_>, calls: &Calls) -> LoadReport {
     let text = message.header("X-Group").unwrap_or_default();
-    let [free, size] = &calls.settings().report;
-    let get = |name: &str| {
-        let (_, value) = attributes(text).find(|(n, _)| *n == name.as_bytes())?;
+    let [free_field, size_field] = &calls.settings().report_fields;
+    let field = |field_name: &str| {
+        let (_, value) = attributes(text).find(|(name, _)| *name == field_name.as_bytes())?;
         let value: f64 = std::str::from_utf8(value).ok()?.parse().ok()?;
-        Some(value).filter(|f| f.is_finite() && *f >= 0.0)
+        Some(value).filter(|v| v.is_finite() && *v >= 0.0)
     };
-    LoadReport { free_circuits: get(free), group_size: get(size), ..LoadReport::default() }
+    LoadReport { free_circuits: field(free_field), group_size: field(size_field), ..LoadReport::default() }
 }
--- a/dillhold/src/session/mod.rs
+++ b/dillhold/src/session/mod.rs
@@ -1,4 +1,4 @@
-//! State machines for the connections. They are fed bytes and give bytes; none knows a socket.
+//! Protocol state machines of the connections. They read from and write to buffers and do no I/O themselves.
 
 pub mod caller;
 pub mod exchange;
@@ -6,116 +6,120 @@
 
 use std::collections::VecDeque;
 
-use crate::codec::Unreadable;
+use crate::codec::ParseError;
 
-/// The read buffer of a connection. Messages are slices of it.
+/// The read buffer of a connection. Parsed messages borrow from it.
 #[derive(Debug, Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    taken: usize,
-    filled: usize,
+    /// Bytes at the front that have been consumed.
+    consumed: usize,
+    /// End of the received bytes.
+    end: usize,
 }
 
-/// Bytes that can be read at once.
-const ROOM: usize = 4 * 1024;
+/// The buffer grows in steps of this size.
+const CHUNK_BYTES: usize = 4 * 1024;
 
 impl ReadBuffer {
-    /// Where the next bytes go.
+    /// The free space for the next read. Call [`ReadBuffer::advance`] with the number of bytes read.
     pub fn unfilled(&mut self) -> &mut [u8] {
-        self.bytes.copy_within(self.taken..self.filled, 0);
-        self.filled -= self.taken;
-        self.taken = 0;
-        let whole = (self.filled + ROOM).next_multiple_of(ROOM);
-        if self.bytes.len() != whole {
-            self.bytes.resize(whole, 0);
-            self.bytes.shrink_to(4 * ROOM);
+        self.bytes.copy_within(self.consumed..self.end, 0);
+        self.end -= self.consumed;
+        self.consumed = 0;
+        let size = (self.end + CHUNK_BYTES).next_multiple_of(CHUNK_BYTES);
+        if self.bytes.len() != size {
+            self.bytes.resize(size, 0);
+            self.bytes.shrink_to(4 * CHUNK_BYTES);
         }
-        &mut self.bytes[self.filled..]
+        &mut self.bytes[self.end..]
     }
 
-    /// So many bytes went there.
+    /// Marks bytes of the free space as received.
     pub fn advance(&mut self, count: usize) {
-        self.filled += count;
+        self.end += count;
     }
 
-    /// Adds bytes.
+    /// Appends a copy of bytes.
     pub fn append(&mut self, bytes: &[u8]) {
-        for part in bytes.chunks(ROOM) {
-            self.unfilled()[..part.len()].copy_from_slice(part);
-            self.advance(part.len());
+        for chunk in bytes.chunks(CHUNK_BYTES) {
+            self.unfilled()[..chunk.len()].copy_from_slice(chunk);
+            self.advance(chunk.len());
         }
     }
 
-    /// What has not been taken.
+    /// The bytes that have not been consumed.
     pub fn unread(&self) -> &[u8] {
-        &self.bytes[self.taken..self.filled]
+        &self.bytes[self.consumed..self.end]
     }
 
-    /// Bytes of memory that it takes.
+    /// Memory allocated for the buffer, in bytes.
     pub fn capacity_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Takes bytes from the front.
+    /// Removes bytes from the front.
     pub fn consume(&mut self, count: usize) {
-        self.taken = (self.taken + count).min(self.filled);
+        self.consumed = (self.consumed + count).min(self.end);
     }
 }
 
-/// Bytes to be written. Some stretches are marked, so that they can be taken back before they have begun to
-/// leave.
+/// The write buffer of a connection. Tracked messages can be withdrawn until their first byte is written.
 #[derive(Debug, Default)]
 pub struct WriteBuffer {
     bytes: Vec<u8>,
+    /// Bytes at the front that have been written to the connection.
     written: usize,
-    marks: VecDeque<Mark>,
+    /// Tracked messages that have not been written completely, in order.
+    tracked: VecDeque<TrackedMessage>,
 }
 
 #[derive(Debug)]
-struct Mark {
-    /// Its first byte has left.
-    begun: bool,
+struct TrackedMessage {
+    /// Whether its first byte has been written to the connection.
+    started: bool,
     start: usize,
     end: usize,
-    what: (u64, u32),
+    /// Id of the call and number of the attempt.
+    attempt_id: (u64, u32),
 }
 
 impl WriteBuffer {
-    /// The buffer to append to.
+    /// The bytes to append untracked messages to.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Appends a stretch that is marked.
-    pub fn append_tracked(&mut self, what: (u64, u32), write: impl FnOnce(&mut Vec<u8>)) {
+    /// Appends a message that is tracked under the id of its call and the number of its attempt.
+    pub fn append_tracked(&mut self, attempt_id: (u64, u32), write: impl FnOnce(&mut Vec<u8>)) {
         let start = self.bytes.len();
         write(&mut self.bytes);
-        self.marks.push_back(Mark { begun: false, start, end: self.bytes.len(), what });
+        self.tracked.push_back(TrackedMessage { started: false, start, end: self.bytes.len(), attempt_id });
     }
 
-    /// Bytes of memory that it takes.
+    /// Memory allocated for the buffer, in bytes.
     pub fn capacity_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Whether a marked stretch has not left whole.
+    /// Whether a tracked message has not been written completely.
     pub fn has_unsent(&self) -> bool {
-        !self.marks.is_empty()
+        !self.tracked.is_empty()
     }
 
-    /// What has to be written next.
+    /// The bytes to be written next.
     pub fn pending(&self) -> &[u8] {
         &self.bytes[self.written..]
     }
 
-    /// So many bytes were written.
+    /// Marks pending bytes as written to the connection.
     pub fn mark_written(&mut self, count: usize) {
         self.written += count;
-        while self.marks.front().is_some_and(|m| m.end <= self.written) {
-            self.marks.pop_front();
+        while self.tracked.front().is_some_and(|m| m.end <= self.written) {
+            self.tracked.pop_front();
         }
-        if let Some(first) = self.marks.front_mut() {
-            first.begun |= first.start < self.written;
+        if let Some(first) = self.tracked.front_mut() {
+            first.started |= first.start < self.written;
         }
         if self.written == self.bytes.len() {
             *self = WriteBuffer { bytes: std::mem::take(&mut self.bytes), ..WriteBuffer::default() };
@@ -123,45 +127,49 @@
             self.bytes.shrink_to(64 * 1024);
         } else if self.written > 64 * 1024 {
             self.bytes.drain(..self.written);
-            let cut = self.written;
-            self.marks.iter_mut().for_each(|m| (m.start, m.end) = (m.start.saturating_sub(cut), m.end - cut));
+            let removed = self.written;
+            self.tracked
+                .iter_mut()
+                .for_each(|m| (m.start, m.end) = (m.start.saturating_sub(removed), m.end - removed));
             self.written = 0;
         }
     }
 
-    /// Takes back the marked stretches that fit and of which no byte has left.
-    pub fn withdraw(&mut self, fits: impl Fn((u64, u32)) -> bool) -> Vec<(u64, u32)> {
-        let (mut back, mut cut) = (Vec::new(), 0);
+    /// Withdraws the tracked messages that match and of which no byte has been written. Returns their call
+    /// ids and attempt numbers.
+    pub fn withdraw(&mut self, matches: impl Fn((u64, u32)) -> bool) -> Vec<(u64, u32)> {
+        let (mut withdrawn, mut removed) = (Vec::new(), 0);
         let bytes = &mut self.bytes;
-        self.marks.retain_mut(|m| {
-            (m.start, m.end) = (m.start - cut, m.end - cut);
-            if m.begun || !fits(m.what) {
+        self.tracked.retain_mut(|m| {
+            (m.start, m.end) = (m.start - removed, m.end - removed);
+            if m.started || !matches(m.attempt_id) {
                 return true;
             }
             bytes.drain(m.start..m.end);
-            cut += m.end - m.start;
-            back.push(m.what);
+            removed += m.end - m.start;
+            withdrawn.push(m.attempt_id);
             false
         });
-        back
+        withdrawn
     }
 
-    /// Drops everything. Tells what was marked and had not left whole.
+    /// Discards all bytes. Returns the call ids and attempt numbers of the tracked messages that were not
+    /// written completely.
     pub fn clear(&mut self) -> Vec<(u64, u32)> {
-        let unsent = self.marks.iter().map(|m| m.what).collect();
+        let unsent = self.tracked.iter().map(|m| m.attempt_id).collect();
         *self = WriteBuffer::default();
         unsent
     }
 }
 
-/// Takes whole messages from the read_buffer until none is left. `each` gets a message and tells how many
-/// bytes it took; `None` ends it.
-fn drain(
+/// Processes messages from the buffer until none is complete. `process` is given the unread bytes and returns
+/// how many of them its message took, or `None` if the next message is incomplete.
+fn process_messages(
     read_buffer: &mut ReadBuffer,
-    mut each: impl FnMut(&[u8]) -> Result<Option<usize>, Unreadable>,
-) -> Result<(), Unreadable> {
-    while let Some(taken) = each(read_buffer.unread())? {
-        read_buffer.consume(taken);
+    mut process: impl FnMut(&[u8]) -> Result<Option<usize>, ParseError>,
+) -> Result<(), ParseError> {
+    while let Some(consumed) = process(read_buffer.unread())? {
+        read_buffer.consume(consumed);
     }
     Ok(())
 }
--- a/dillhold/tests/parsers.rs
+++ b/dillhold/tests/parsers.rs
@@ -1,6 +1,7 @@
-//! The parsers against random cuts of valid messages and random garbage, from fixed seeds.
+//! Property tests of the parsers, with fixed seeds: valid messages that arrive in random pieces, and random
+//! bytes. Also tests of malformed messages and of the write buffer.
 
-use dillhold::codec::{binary, http, sip, Unreadable, MAX_MESSAGE_BYTES};
+use dillhold::codec::{binary, http, sip, ParseError, MAX_MESSAGE_BYTES};
 use dillhold::session::{ReadBuffer, WriteBuffer};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -11,80 +12,79 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]))
 }
 
-/// Feeds a stream in pieces, each cut telling a piece's length, and lists what `parse` finds.
-fn read<T>(
+/// Passes a stream to `parse` in pieces of the given lengths, in turn, and returns the messages found.
+fn parse_in_pieces<T>(
     stream: &[u8],
-    cuts: &[usize],
-    parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, Unreadable>,
+    piece_lengths: &[usize],
+    parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, ParseError>,
 ) -> Vec<T> {
-    let (mut read_buffer, mut found, mut rest) = (ReadBuffer::default(), Vec::new(), stream);
-    let mut cuts = cuts.iter().copied().cycle();
-    while !rest.is_empty() {
-        let (piece, after) = rest.split_at(cuts.next().unwrap_or(1).clamp(1, rest.len()));
+    let (mut read_buffer, mut messages, mut remaining) = (ReadBuffer::default(), Vec::new(), stream);
+    let mut piece_lengths = piece_lengths.iter().copied().cycle();
+    while !remaining.is_empty() {
+        let (piece, rest) = remaining.split_at(piece_lengths.next().unwrap_or(1).clamp(1, remaining.len()));
         read_buffer.append(piece);
-        rest = after;
-        while let Some((one, taken)) = parse(read_buffer.unread()).expect("a valid stream") {
-            found.push(one);
-            read_buffer.consume(taken);
+        remaining = rest;
+        while let Some((message, consumed)) = parse(read_buffer.unread()).expect("a valid stream") {
+            messages.push(message);
+            read_buffer.consume(consumed);
         }
     }
-    assert!(read_buffer.unread().is_empty(), "nothing is left of a valid stream");
-    found
+    assert!(read_buffer.unread().is_empty(), "a valid stream is consumed completely");
+    messages
 }
 
-type Plain = (u8, u64, Vec<(u8, Vec<u8>)>);
+/// Kind, call id and parameters of a binary message; each parameter is its code and value.
+type BinaryMessage = (u8, u64, Vec<(u8, Vec<u8>)>);
 
-fn plain() -> impl Strategy<Value = Plain> {
+fn binary_message() -> impl Strategy<Value = BinaryMessage> {
     (any::<u8>(), any::<u64>(), vec((any::<u8>(), vec(any::<u8>(), 0..60)), 0..6))
 }
 
 #[test]
-fn binary_messages_survive_any_cut() {
-    let messages = (vec(plain(), 1..8), vec(1usize..90, 1..20));
-    let whole = |(messages, cuts): (Vec<Plain>, Vec<usize>)| {
+fn parses_binary_messages_in_pieces() {
+    let input = (vec(binary_message(), 1..8), vec(1usize..90, 1..20));
+    let property = |(messages, piece_lengths): (Vec<BinaryMessage>, Vec<usize>)| {
         let mut stream = Vec::new();
-        for (kind, call, parameters) in &messages {
+        for (kind, call_id, parameters) in &messages {
             let parameters: Vec<_> = parameters.iter().map(|(c, v)| (*c, v.as_slice())).collect();
-            binary::write(&mut stream, *kind, *call, &parameters);
+            binary::write(&mut stream, *kind, *call_id, &parameters);
         }
-        let found = read(&stream, &cuts, |bytes| {
-            let own = |m: binary::Message<'_>| {
+        let found = parse_in_pieces(&stream, &piece_lengths, |bytes| {
+            let to_owned = |m: binary::Message<'_>| {
                 (m.kind, m.call_id, (0..=255u8).map(|c| m.parameter(c).map(Vec::from)).collect::<Vec<_>>())
             };
-            Ok(binary::parse(bytes)?.map(|(m, taken)| (own(m), taken)))
+            Ok(binary::parse(bytes)?.map(|(m, consumed)| (to_owned(m), consumed)))
         });
-        let first = |parameters: &[(u8, Vec<u8>)], code| {
+        let first_value = |parameters: &[(u8, Vec<u8>)], code| {
             parameters.iter().find(|(c, _)| *c == code).map(|(_, v)| v.clone())
         };
-        let sent = messages.iter().map(|(kind, call, parameters)| {
-            (*kind, *call, (0..=255u8).map(|c| first(parameters, c)).collect::<Vec<_>>())
+        let expected = messages.iter().map(|(kind, call_id, parameters)| {
+            (*kind, *call_id, (0..=255u8).map(|c| first_value(parameters, c)).collect::<Vec<_>>())
         });
-        prop_assert_eq!(found, sent.collect::<Vec<_>>());
+        prop_assert_eq!(found, expected.collect::<Vec<_>>());
         Ok(())
     };
-    runner(1).run(&messages, whole).unwrap();
+    runner(1).run(&input, property).unwrap();
 }
 
 #[test]
-fn sip_messages_survive_any_cut() {
-    let one = (100u16..700, any::<u64>(), any::<u32>(), vec(any::<u8>(), 0..200));
-    let messages = (vec(one, 1..6), vec(1usize..120, 1..20));
+fn parses_sip_messages_in_pieces() {
+    let message = (100u16..700, any::<u64>(), any::<u32>(), vec(any::<u8>(), 0..200));
+    let input = (vec(message, 1..6), vec(1usize..120, 1..20));
     runner(2)
-        .run(&messages, |(messages, cuts)| {
+        .run(&input, |(messages, piece_lengths)| {
             let mut stream = b"\r\n\r\n".to_vec();
-            for (code, call, number, body) in &messages {
-                let line = format_args!("SIP/2.0 {code} Word");
-                let call = format!("{call:016x}");
-                let further = format_args!("Reason: Q.850;cause=16\r\nX-Odd:\r\n folded\r\n");
-                sip::write(&mut stream, line, call.as_bytes(), (*number, "INVITE"), further, body);
+            for (code, call_id, number, body) in &messages {
+                let start_line = format_args!("SIP/2.0 {code} Word");
+                let call_id = format!("{call_id:016x}");
+                let headers = format_args!("Reason: Q.850;cause=16\r\nX-Odd:\r\n folded\r\n");
+                sip::write(&mut stream, start_line, call_id.as_bytes(), (*number, "INVITE"), headers, body);
             }
-            let found = read(&stream, &cuts, |bytes| {
-                Ok(sip::parse(bytes)?.map(|(m, taken)| {
+            let found = parse_in_pieces(&stream, &piece_lengths, |bytes| {
+                Ok(sip::parse(bytes)?.map(|(m, consumed)| {
                     assert_eq!(m.cause(), Some(16));
-                    let sip::StartLine::Response(code) = m.start_line else {
-                        panic!("a response was written")
-                    };
-                    ((code, m.call_id().unwrap(), m.cseq().unwrap().0, m.body.to_vec()), taken)
+                    let sip::StartLine::Response(code) = m.start_line else { panic!("expected a response") };
+                    ((code, m.call_id().unwrap(), m.cseq().unwrap().0, m.body.to_vec()), consumed)
                 }))
             });
             prop_assert_eq!(found, messages);
@@ -94,18 +94,19 @@
 }
 
 #[test]
-fn http_answers_survive_any_cut() {
-    let answers = (vec((vec(any::<u8>(), 0..300), any::<bool>()), 1..5), vec(1usize..120, 1..20));
+fn parses_http_responses_in_pieces() {
+    let input = (vec((vec(any::<u8>(), 0..300), any::<bool>()), 1..5), vec(1usize..120, 1..20));
     runner(3)
-        .run(&answers, |(answers, cuts)| {
+        .run(&input, |(responses, piece_lengths)| {
             let mut stream = Vec::new();
-            for (body, chunked) in &answers {
+            for (body, is_chunked) in &responses {
                 stream.extend(b"HTTP/1.1 200 OK\r\nServer: x\r\n");
-                if *chunked {
+                if *is_chunked {
                     stream.extend(b"transfer-encoding: chunked\r\n\r\n");
-                    for part in body.chunks(70) {
-                        stream
-                            .extend(format!("{:x};note\r\n", part.len()).bytes().chain(part.iter().copied()));
+                    for chunk in body.chunks(70) {
+                        stream.extend(
+                            format!("{:x};note\r\n", chunk.len()).bytes().chain(chunk.iter().copied()),
+                        );
                         stream.extend(b"\r\n");
                     }
                     stream.extend(b"0\r\nTrailer: y\r\n\r\n");
@@ -114,62 +115,62 @@
                     stream.extend(body);
                 }
             }
-            let found = read(&stream, &cuts, |bytes| {
-                Ok(http::parse(bytes)?.map(|(r, taken)| (r.body.to_vec(), taken)))
+            let found = parse_in_pieces(&stream, &piece_lengths, |bytes| {
+                Ok(http::parse(bytes)?.map(|(r, consumed)| (r.body.to_vec(), consumed)))
             });
-            prop_assert_eq!(found, answers.into_iter().map(|(body, _)| body).collect::<Vec<_>>());
+            prop_assert_eq!(found, responses.into_iter().map(|(body, _)| body).collect::<Vec<_>>());
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn garbage_is_refused_or_bounded() {
-    // Starts that lead further into the parsers than bare noise does.
-    let starts =
+fn random_bytes_are_rejected_or_await_bounded_input() {
+    // Prefixes that get further through the parsers than random bytes alone.
+    let prefixes =
         ["", "\0\u{9}", "INVITE sip:x SIP/2.0\r\n", "SIP/2.0 200 OK\r\nContent-Length: 5", "HTTP/1.1 200"];
-    let noise = (0..starts.len(), vec(any::<u8>(), 0..400), any::<bool>());
+    let input = (0..prefixes.len(), vec(any::<u8>(), 0..400), any::<bool>());
     runner(4)
-        .run(&noise, |(start, noise, long)| {
-            let mut bytes = [starts[start].as_bytes(), &noise].concat();
-            if long {
+        .run(&input, |(prefix_index, random_bytes, is_long)| {
+            let mut bytes = [prefixes[prefix_index].as_bytes(), &random_bytes].concat();
+            if is_long {
                 bytes.resize(400 * 1024, b'a');
             }
-            // Either it is an error, or a message within the bytes, or more is needed below the cap.
-            let settled = |taken: Option<Result<Option<usize>, Unreadable>>, cap| match taken {
-                Some(Ok(Some(taken))) => taken > 0 && taken <= bytes.len(),
-                Some(Ok(None)) => bytes.len() < cap,
+            // Either an error, or a message within the bytes, or a request for more bytes below the maximum.
+            let is_valid = |consumed: Option<Result<Option<usize>, ParseError>>, max_bytes| match consumed {
+                Some(Ok(Some(consumed))) => consumed > 0 && consumed <= bytes.len(),
+                Some(Ok(None)) => bytes.len() < max_bytes,
                 _ => true,
             };
-            let taken = binary::parse(&bytes).map(|p| p.map(|p| p.1));
-            prop_assert!(settled(Some(taken), MAX_MESSAGE_BYTES));
-            let taken = sip::parse(&bytes).map(|p| p.map(|p| p.1));
-            prop_assert!(settled(Some(taken), 2 * MAX_MESSAGE_BYTES));
-            let taken = http::parse(&bytes).map(|p| p.map(|p| p.1));
-            prop_assert!(settled(Some(taken), MAX_MESSAGE_BYTES + http::MAX_BODY_BYTES));
+            let consumed = binary::parse(&bytes).map(|p| p.map(|p| p.1));
+            prop_assert!(is_valid(Some(consumed), MAX_MESSAGE_BYTES));
+            let consumed = sip::parse(&bytes).map(|p| p.map(|p| p.1));
+            prop_assert!(is_valid(Some(consumed), 2 * MAX_MESSAGE_BYTES));
+            let consumed = http::parse(&bytes).map(|p| p.map(|p| p.1));
+            prop_assert!(is_valid(Some(consumed), MAX_MESSAGE_BYTES + http::MAX_BODY_BYTES));
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn messages_over_the_cap_are_refused_before_they_are_whole() {
+fn rejects_oversized_message_before_it_is_complete() {
     let mut binary = (MAX_MESSAGE_BYTES as u16 - 1).to_be_bytes().to_vec();
-    assert_eq!(binary::parse(&binary), Err(Unreadable::TooLong));
+    assert_eq!(binary::parse(&binary), Err(ParseError::TooLong));
     binary[..2].copy_from_slice(&(MAX_MESSAGE_BYTES as u16 - 2).to_be_bytes());
     assert_eq!(binary::parse(&binary), Ok(None));
     let sip = format!("BYE sip:a SIP/2.0\r\nContent-Length: {MAX_MESSAGE_BYTES}\r\n\r\n");
-    assert_eq!(sip::parse(sip.as_bytes()), Err(Unreadable::TooLong));
-    assert_eq!(sip::parse(&vec![b'A'; MAX_MESSAGE_BYTES]), Err(Unreadable::TooLong));
+    assert_eq!(sip::parse(sip.as_bytes()), Err(ParseError::TooLong));
+    assert_eq!(sip::parse(&vec![b'A'; MAX_MESSAGE_BYTES]), Err(ParseError::TooLong));
 }
 
-/// An answer with a line that is no header was once passed on as good.
+/// A response with a line that is not a valid header was once accepted.
 #[test]
-fn spoilt_answers_cannot_be_read() {
-    let answer = |first: &str, lines: &str| format!("{first}\r\n{lines}\r\n\r\nabcd");
-    let good = answer("SIP/2.0 200 OK", "Call-ID: 00000000000000aa\r\nl: 4\r\nContent-Length: 4");
-    assert!(matches!(sip::parse(good.as_bytes()), Ok(Some((m, _))) if m.body == b"abcd"));
-    for (first, lines) in [
+fn rejects_malformed_sip_responses() {
+    let response = |start_line: &str, headers: &str| format!("{start_line}\r\n{headers}\r\n\r\nabcd");
+    let valid = response("SIP/2.0 200 OK", "Call-ID: 00000000000000aa\r\nl: 4\r\nContent-Length: 4");
+    assert!(matches!(sip::parse(valid.as_bytes()), Ok(Some((m, _))) if m.body == b"abcd"));
+    for (start_line, headers) in [
         ("SIP/9.9 OK 200", "Content-Length: 4"),
         ("SIP/2.0 OK", "Content-Length: 4"),
         ("SIP/2.0 200 OK", "no colon here\r\nContent-Length: 4"),
@@ -180,25 +181,29 @@
         ("SIP/2.0 200 OK", "Call-ID: 00000000000000aa"),
     ] {
         assert_eq!(
-            sip::parse(answer(first, lines).as_bytes()),
-            Err(Unreadable::Malformed),
-            "{first} {lines}"
+            sip::parse(response(start_line, headers).as_bytes()),
+            Err(ParseError::Malformed),
+            "{start_line} {headers}"
         );
     }
-    let huge = answer("SIP/2.0 200 OK", "Content-Length: 3000000000");
-    assert_eq!(sip::parse(huge.as_bytes()), Err(Unreadable::TooLong), "on the claim, not on the bytes");
+    let oversized = response("SIP/2.0 200 OK", "Content-Length: 3000000000");
+    assert_eq!(
+        sip::parse(oversized.as_bytes()),
+        Err(ParseError::TooLong),
+        "rejected for the stated length, before the bytes arrive"
+    );
 }
 
-/// What has begun to leave cannot be taken back; what has not must not leave.
+/// A message that is partly written must be completed; one that is withdrawn must not be written at all.
 #[test]
-fn only_what_has_not_begun_to_leave_is_taken_back() {
+fn withdraws_only_messages_that_are_not_partly_written() {
     let mut write_buffer = WriteBuffer::default();
     for attempt in 0..3 {
         write_buffer.append_tracked((7, attempt), |out| out.extend([attempt as u8; 70_000]));
     }
     write_buffer.buffer().extend(b"end");
     write_buffer.mark_written(70_001);
-    assert_eq!(write_buffer.withdraw(|m| m.1 > 0), vec![(7, 2)], "the second one has begun");
+    assert_eq!(write_buffer.withdraw(|m| m.1 > 0), vec![(7, 2)], "attempt 1 is partly written");
     assert_eq!(write_buffer.pending(), [&[1; 69_999][..], b"end"].concat());
-    assert_eq!(write_buffer.clear(), vec![(7, 1)], "and has not left whole");
+    assert_eq!(write_buffer.clear(), vec![(7, 1)], "attempt 1 is not written completely");
 }
