--- a/dillhold/src/call/mod.rs
+++ b/dillhold/src/call/mod.rs
@@ -103,14 +103,17 @@
     standing_calls: usize,
 }
 
-/// The call table, with the decision module that it drives.
+/// The call table, together with the decision module.
 pub struct Calls {
     decision_module: Controller,
+    /// Settings of the decision module.
     module_settings: Settings,
     settings: ControllerSettings,
     /// The list of exchanges.
     pub directory: Directory,
+    /// Open and standing calls, by the id that callers and exchanges use.
     calls_by_id: HashMap<u64, Call>,
+    /// Ids of the calls, by the decision module's handle.
     ids_by_handle: HashMap<CallId, u64>,
     /// Calls by connection from callers; a connection without calls has no entry.
     calls_by_connection: HashMap<CallerConnId, ConnectionCalls>,
@@ -209,8 +212,8 @@
         }
     }
 
-    /// Whether the settings can be replaced by these while calls are open or stand: the exchange, the layout
-    /// of the network and the classes have to be the same.
+    /// Whether these settings can replace the current ones while calls are open or stand: the exchange, the
+    /// layout of the network and the classes have to be the same.
     pub fn can_reconfigure(&self, settings: &ControllerSettings) -> bool {
         let identity = |s: &Settings| (s.home_exchange, s.controller_index, s.zone, s.topology);
         identity(&settings.module) == identity(&self.settings.module)
@@ -280,8 +283,8 @@
         }
     }
 
-    /// Handles a request from a caller. Returns false for a set-up that is not served and for the release of
-    /// an unknown call.
+    /// Handles a request from a caller. Returns false for an invalid or duplicate set-up and for the release
+    /// of an unknown call.
     pub fn handle_caller_request(
         &mut self,
         now: Nanos,
@@ -508,7 +511,7 @@
                 let number = self.directory.machine(exchange).map(|m| m.number);
                 if let Some((free, size)) = report.free_circuits.zip(report.group_size) {
                     let in_use = (size - free).max(0.0);
-                    self.group_states.entry(exchange).or_insert(GroupState { at: now, in_use });
+                    self.group_states.entry(exchange).or_insert(GroupState { received_at: now, in_use });
                 }
                 let measurable = number.zip(report.free_circuits).zip(report.group_size);
                 if let (Some(meter), Some(((number, free), size))) = (&mut self.meter, measurable) {
@@ -601,7 +604,7 @@
                 let machine = self.directory.machine(exchange);
                 // If the machine was restarted, only the calls from before its restart have ended.
                 let restarted = machine.filter(|m| m.standing != ExchangeState::Gone);
-                let sent_before = restarted.map_or(Nanos::MAX, |m| m.since.unwrap_or(0));
+                let sent_before = restarted.map_or(Nanos::MAX, |m| m.started_at.unwrap_or(0));
                 self.exchange_ended(now, exchange, sent_before);
                 if sent_before == Nanos::MAX {
                     self.commands.push_back(Command::RemoveExchange(exchange));
--- a/dillhold/src/call/standing.rs
+++ b/dillhold/src/call/standing.rs
@@ -11,8 +11,8 @@
 /// State of the trunk group towards an exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupState {
-    /// When it was received.
-    pub at: Nanos,
+    /// When the report was received.
+    pub received_at: Nanos,
     /// Circuits in use by calls of both ends.
     pub in_use: f64,
 }
--- a/dillhold/src/codec/http.rs
+++ b/dillhold/src/codec/http.rs
@@ -15,7 +15,7 @@
     /// Status code.
     pub status: u16,
     /// Whether the server closes the connection after it.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// The body; copied only if it was chunked.
     pub body: Cow<'a, [u8]>,
 }
@@ -32,7 +32,7 @@
     let status = words.next().and_then(parse_decimal).filter(|s| (100..600).contains(s));
     let status = status.ok_or(ParseError::Malformed)? as u16;
     let connection = find_header(head, &["Connection"]).unwrap_or_default();
-    let closes = connection.eq_ignore_ascii_case(b"close") || version == b"HTTP/1.0";
+    let closes_connection = connection.eq_ignore_ascii_case(b"close") || version == b"HTTP/1.0";
     let transfer_encoding = find_header(head, &["Transfer-Encoding"]).unwrap_or_default();
     let rest = &bytes[head_len..];
     let body = if transfer_encoding.eq_ignore_ascii_case(b"chunked") {
@@ -48,7 +48,7 @@
         }
         rest.get(..length as usize).map(|body| (Cow::Borrowed(body), length as usize))
     };
-    Ok(body.map(|(body, body_len)| (Response { status, closes, body }, head_len + body_len)))
+    Ok(body.map(|(body, body_len)| (Response { status, closes_connection, body }, head_len + body_len)))
 }
 
 /// Parses a chunked body with its trailers.
--- a/dillhold/src/codec/mod.rs
+++ b/dillhold/src/codec/mod.rs
@@ -82,7 +82,7 @@
 }
 
 /// Parses attributes: `name:value` pairs joined by semicolons. Parts without a colon are skipped.
-pub fn attributes(text: &[u8]) -> impl Iterator<Item = (&[u8], &[u8])> {
+pub fn parse_attributes(text: &[u8]) -> impl Iterator<Item = (&[u8], &[u8])> {
     text.split(|b| *b == b';').filter_map(|attribute| {
         let colon = attribute.iter().position(|b| *b == b':')?;
         Some((attribute[..colon].trim_ascii(), attribute[colon + 1..].trim_ascii()))
--- a/dillhold/src/directory.rs
+++ b/dillhold/src/directory.rs
@@ -184,7 +184,7 @@
     /// Its state in the journal.
     pub standing: ExchangeState,
     /// When it started; `None` if that was long ago or is unknown.
-    pub since: Option<Nanos>,
+    pub started_at: Option<Nanos>,
     uid: String,
 }
 
@@ -292,7 +292,7 @@
         let known_id = self.machines.iter().find(|(_, m)| m.uid == host.uid).map(|(id, _)| *id);
         let id = known_id.unwrap_or(self.next_id);
         self.next_id = self.next_id.max(id + 1);
-        let since = Some(host.boot_ms * MS).filter(|t| *t > 0);
+        let started_at = Some(host.boot_ms * MS).filter(|t| *t > 0);
         let standing = match host.state {
             HostState::Serving => ExchangeState::Up,
             HostState::Draining => ExchangeState::Draining,
@@ -300,7 +300,7 @@
         };
         if let Some(previous) = self.machines.get(&id) {
             let has_left = standing == ExchangeState::Gone && previous.standing != ExchangeState::Gone;
-            if has_left || previous.since != since {
+            if has_left || previous.started_at != started_at {
                 update.ended_exchanges.push(id);
             }
         }
@@ -308,9 +308,9 @@
         let zone = self.zones.iter().position(|z| *z == host.az).unwrap_or(self.zones.len()) as u32;
         if known_id.is_some() || standing != ExchangeState::Gone {
             let (address, uid) = (host.endpoint, host.uid);
-            self.machines.insert(id, Machine { address, number, standing, since, uid });
+            self.machines.insert(id, Machine { address, number, standing, started_at, uid });
         }
-        Entry { exchange: id, number, zone, since, standing }
+        Entry { exchange: id, number, zone, since: started_at, standing }
     }
 }
 
--- a/dillhold/src/engine/liveness.rs
+++ b/dillhold/src/engine/liveness.rs
@@ -179,14 +179,14 @@
             }
             return;
         };
-        if self.now < group.at + COMPARE_AFTER {
-            return self.calls.deadlines.add(group.at + COMPARE_AFTER, due);
+        if self.now < group.received_at + COMPARE_AFTER {
+            return self.calls.deadlines.add(group.received_at + COMPARE_AFTER, due);
         }
         let counted_before = since.saturating_sub(REPORT_LAG);
         let standing = f64::from(self.calls.circuits_of_standing_calls(id, counted_before));
-        let exact = self.now >= group.at + COMPARE_EXACTLY_AFTER;
+        let exact = self.now >= group.received_at + COMPARE_EXACTLY_AFTER;
         if !exact && group.in_use < standing {
-            self.calls.deadlines.add(group.at + COMPARE_EXACTLY_AFTER, due);
+            self.calls.deadlines.add(group.received_at + COMPARE_EXACTLY_AFTER, due);
         }
         let explained = if exact { group.in_use } else { 2.0 * group.in_use };
         if explained < standing {
--- a/dillhold/src/session/caller.rs
+++ b/dillhold/src/session/caller.rs
@@ -7,7 +7,7 @@
 use crate::call::{CallerConnId, CallerNotification, CallerRequest, Calls, SetUp};
 use crate::clock::MS;
 use crate::codec::binary::{self, kind, param, Message};
-use crate::codec::{attributes, ParseError, MAX_MESSAGE_BYTES};
+use crate::codec::{parse_attributes, ParseError, MAX_MESSAGE_BYTES};
 use crate::session::{process_messages, ReadBuffer, WriteBuffer};
 
 /// Q.850 cause 42, switching equipment congestion: the set-up was refused and can be retried safely.
@@ -145,7 +145,7 @@
 
 /// Notifications that a lost connection may not have delivered.
 #[derive(Debug)]
-pub struct Undelivered {
+pub struct UndeliveredNotifications {
     /// Ids of the calls whose answer was not written completely.
     pub answers: Vec<u64>,
     /// Call ids and causes of recent releases that were not acknowledged. Older ones are left out, as callers
@@ -155,10 +155,10 @@
 
 impl CallerSession {
     /// Ends the session of a connection that was lost.
-    pub fn into_undelivered(mut self, now: Nanos) -> Undelivered {
+    pub fn into_undelivered(mut self, now: Nanos) -> UndeliveredNotifications {
         let recent_releases =
             self.unacked_releases.iter().filter(|(sent_at, ..)| now < sent_at + UNACKED_RELEASE_RETENTION);
-        Undelivered {
+        UndeliveredNotifications {
             releases: recent_releases.map(|(_, id, cause)| (*id, *cause)).collect(),
             answers: self.write_buffer.clear().into_iter().map(|(id, _)| id).collect(),
         }
@@ -190,7 +190,7 @@
         attributes_valid &= parsed.is_some();
         parsed.and_then(|n| u32::try_from(n).ok())
     };
-    for (name, value) in attributes(message.parameter(param::ATTRIBUTES).unwrap_or_default()) {
+    for (name, value) in parse_attributes(message.parameter(param::ATTRIBUTES).unwrap_or_default()) {
         match name {
             b"dest" => {
                 set_up.destination = parse_attribute(value, 0, i64::from(u32::MAX) - 1).unwrap_or(u32::MAX)
--- a/dillhold/src/session/exchange.rs
+++ b/dillhold/src/session/exchange.rs
@@ -8,7 +8,7 @@
 use crate::call::{Calls, ExchangeEvent, ExchangeRequest};
 use crate::clock::MS;
 use crate::codec::sip::{self, Message, StartLine};
-use crate::codec::{attributes, parse_call_id, ParseError};
+use crate::codec::{parse_attributes, parse_call_id, ParseError};
 use crate::session::{process_messages, ReadBuffer, WriteBuffer};
 
 /// Set-ups are not sent while more bytes than this are pending.
@@ -251,7 +251,7 @@
     let text = message.header("X-Group").unwrap_or_default();
     let [free_field, size_field] = &calls.settings().report_fields;
     let field = |field_name: &str| {
-        let (_, value) = attributes(text).find(|(name, _)| *name == field_name.as_bytes())?;
+        let (_, value) = parse_attributes(text).find(|(name, _)| *name == field_name.as_bytes())?;
         let value: f64 = std::str::from_utf8(value).ok()?.parse().ok()?;
         Some(value).filter(|v| v.is_finite() && *v >= 0.0)
     };
--- a/dillhold/src/session/journal.rs
+++ b/dillhold/src/session/journal.rs
@@ -21,7 +21,7 @@
 
 /// The service sent an error status or an invalid answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadAnswer;
+pub struct InvalidAnswer;
 
 impl JournalSession {
     /// Writes a poll for the events after a position.
@@ -32,16 +32,16 @@
 
     /// Processes the read buffer. Returns the answer once it is complete, and whether the connection can be
     /// reused.
-    pub fn process_input(&mut self) -> Result<Option<(JournalAnswer, bool)>, BadAnswer> {
-        let Some((response, consumed)) = http::parse(self.read_buffer.unread()).map_err(|_| BadAnswer)?
+    pub fn process_input(&mut self) -> Result<Option<(JournalAnswer, bool)>, InvalidAnswer> {
+        let Some((response, consumed)) = http::parse(self.read_buffer.unread()).map_err(|_| InvalidAnswer)?
         else {
             return Ok(None);
         };
         if response.status != 200 {
-            return Err(BadAnswer);
+            return Err(InvalidAnswer);
         }
-        let answer = serde_json::from_slice(&response.body).map_err(|_| BadAnswer)?;
-        let reusable = !response.closes;
+        let answer = serde_json::from_slice(&response.body).map_err(|_| InvalidAnswer)?;
+        let reusable = !response.closes_connection;
         self.read_buffer.consume(consumed);
         Ok(Some((answer, reusable)))
     }
--- a/dillhold/tests/callers.rs
+++ b/dillhold/tests/callers.rs
@@ -36,7 +36,7 @@
 /// only tests, were never closed.
 #[test]
 fn evicts_and_closes_idle_connections_but_keeps_one_with_a_call() {
-    let (program, mut caller, mut exchange, _listeners) = start_with_standing_call("room");
+    let (program, mut caller, mut exchange, _listeners) = start_with_standing_call("idle");
     let mut idle: Vec<Connection> = (0..40).map(|_| program.connect_caller()).collect();
     idle[0].wait_for_close();
     idle[39].expect_nothing_else();
@@ -50,7 +50,7 @@
 /// With a backlog of 128, callers beyond it had to retry their connection a second later.
 #[test]
 fn burst_of_connections_waits_in_backlog() {
-    let (program, mut caller, mut exchange, _listeners) = start_with_standing_call("crowd");
+    let (program, mut caller, mut exchange, _listeners) = start_with_standing_call("backlog");
     program.send_signal("-STOP");
     let timeout = std::time::Duration::from_secs(10);
     // The connections are made one after the other, and each that is dropped is retried after a second or
@@ -68,7 +68,7 @@
 /// Such a release was once sent on the newest connection, whose client may never read it.
 #[test]
 fn sends_release_on_confirmed_connection_when_its_own_is_closed() {
-    let (program, first, mut exchange, _listeners) = start_with_standing_call("whom");
+    let (program, first, mut exchange, _listeners) = start_with_standing_call("release");
     let mut second = program.connect_caller();
     establish_call(&mut second, &mut exchange, 2);
     let mut unconfirmed = program.connect_caller();
@@ -84,7 +84,7 @@
 /// SIGHUP once terminated the program.
 #[test]
 fn sighup_applies_valid_configuration_and_rejects_invalid_one() {
-    let (mut program, mut caller, mut exchange, listeners) = start_with_standing_call("hup");
+    let (mut program, mut caller, mut exchange, listeners) = start_with_standing_call("reload");
     let mut old_journal = accept(&listeners[0]);
     std::fs::write(&program.path, "{\"listen\":").unwrap();
     program.send_signal("-HUP");
@@ -129,7 +129,7 @@
 /// valid callers are served meanwhile.
 #[test]
 fn rejects_invalid_set_ups_and_closes_connections_with_invalid_messages() {
-    let (program, mut caller, mut exchange, _listeners) = start_with_standing_call("odd");
+    let (program, mut caller, mut exchange, _listeners) = start_with_standing_call("invalid");
     let invalid_attributes: [&[u8]; 9] = [
         b"x",
         b"dest:x;width:1;via:-1",
