--- a/ctl/src/main.rs
+++ b/ctl/src/main.rs
@@ -151,7 +151,7 @@
             println!("      {}", message.as_str().unwrap_or_default());
         }
     }
-    if let (Some(lost), false) = (report.runs.first().and_then(|r| r.lost.first()), report.broken()) {
+    if let (Some(lost), false) = (report.runs.first().and_then(|r| r.lost.first()), report.has_breaches()) {
         let (class, at, how) = (&lost.class, lost.at, &lost.how);
         println!(
             "first lost      {} at {}: {class} of {at} s, {how} (see --trace)",
@@ -230,7 +230,7 @@
                     println!("drawn           {}", file.display());
                 }
             }
-            Ok(if report.broken() { ExitCode::from(RULE_BROKEN) } else { ExitCode::SUCCESS })
+            Ok(if report.has_breaches() { ExitCode::from(RULE_BROKEN) } else { ExitCode::SUCCESS })
         }
         Command::Dimension(asked) => dimension::run(&asked),
         Command::Erlang(asked) => erlang::run(&asked),
--- a/ctl/src/soak.rs
+++ b/ctl/src/soak.rs
@@ -5,7 +5,7 @@
 
 use clap::Args;
 use rehearsal::script::Script;
-use rehearsal::soak::{self, plan, Asked};
+use rehearsal::soak::{self, plan, SoakOptions};
 
 use crate::{write_json, RULE_BROKEN};
 
@@ -44,7 +44,7 @@
             return Ok(vec![(self.first, Script::load(file).map_err(|e| e.to_string())?)]);
         }
         let drawn = |seed: u64| {
-            let script = Script::parse(&format!("plan of seed {seed}"), &plan::draw(seed));
+            let script = Script::parse(&format!("plan of seed {seed}"), &plan::generate(seed));
             script.map(|script| (seed, script)).map_err(|e| e.to_string())
         };
         (self.first..self.first + self.seeds).map(drawn).collect()
@@ -54,10 +54,10 @@
 /// Plays what is asked for and prints what it came to.
 pub fn run(asked: &Soak) -> Result<ExitCode, String> {
     if asked.print_plan {
-        print!("{}", plan::draw(asked.first));
+        print!("{}", plan::generate(asked.first));
         return Ok(ExitCode::SUCCESS);
     }
-    let played = soak::play(&Asked {
+    let played = soak::play(&SoakOptions {
         plans: asked.plans()?,
         jobs: asked.jobs as usize,
         program: asked.program.clone(),
@@ -91,5 +91,5 @@
     if let Some(path) = &asked.json {
         write_json(path, &played)?;
     }
-    Ok(if played.failed() { ExitCode::from(RULE_BROKEN) } else { ExitCode::SUCCESS })
+    Ok(if played.has_breaches() { ExitCode::from(RULE_BROKEN) } else { ExitCode::SUCCESS })
 }
--- a/rehearsal/src/audit.rs
+++ b/rehearsal/src/audit.rs
@@ -1,6 +1,6 @@
-//! The auditor. It sees what passes on the wires and what the node register has told, knows nothing of any
-//! controller's inner state, and checks every rule. A breach is named with the call, the time and the messages
-//! that show it.
+//! The invariant checker. It observes the messages on the wires and the updates that the journal services sent,
+//! knows nothing of any controller's inner state, and checks every [`Rule`]. A [`Breach`] names the call, the time
+//! and the messages that show it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -11,85 +11,85 @@
 use crate::script::Script;
 use crate::world::{MS, SEC};
 
-/// After the caller's deadline a final answer still counts for so long.
+/// How long after the caller's deadline a final answer is still accepted.
 pub const ANSWER_GRACE: Nanos = 20 * MS + SOCKET_DELAY_ALLOWANCE;
-/// Nothing new goes to a node that drains or is gone, later than this after it was told.
+/// How long a controller may go on sending set-ups to a node after it was told that the node drains or is gone.
 const DRAIN_GRACE: Nanos = 500 * MS + SOCKET_DELAY_ALLOWANCE;
-/// What the register holds counts as told after this at the latest, whether it arrived or not.
-const TOLD_AT_LATEST: Nanos = 7 * SEC;
-/// The same where a call to the register has failed, was refused or given up: from when it could be reached.
-const TOLD_AFTER_FAILURE: Nanos = 6 * SEC;
-/// After an attempt that may have left something behind the call is not sent for so long.
+/// A journal update counts as known to the controller this long after it became available, even if the controller
+/// never received it.
+const UPDATE_KNOWN_AFTER: Nanos = 7 * SEC;
+/// The same after requests to the journal failed, were refused or timed out; counted from its recovery.
+const UPDATE_KNOWN_AFTER_OUTAGE: Nanos = 6 * SEC;
+/// How long a call must not be sent again after an attempt whose resources at the node may still be held.
 const RELEASE_WAIT: Nanos = 300 * MS;
-/// A call that is over is released towards its caller within this time after its exchange said so.
-const RELEASED_AFTER_BYE: Nanos = SEC + SOCKET_DELAY_ALLOWANCE;
-/// The same where its exchange could not say so, counted from the end of the call. A controller has to find out
-/// by itself: that the node register knew nothing yet is no excuse.
-const RELEASED_AFTER_END: Nanos = 8 * SEC + SOCKET_DELAY_ALLOWANCE;
-/// A set-up that comes later than this after SIGTERM has to be answered before SIGKILL.
-const TAKEN_LATE: Nanos = 700 * MS;
-/// What is over is remembered for so long, for what crosses its end.
-const REMEMBERED: Nanos = 20 * SEC;
-/// Breaches that are written out in full; the others are counted.
-const WRITTEN_OUT: usize = 50;
-
-/// Messages of one call that are kept to show a breach.
-const MESSAGES: usize = 60;
-
-/// A rule.
+/// How soon after the exchange's BYE the controller has to release the call towards its caller.
+const RELEASE_LIMIT_AFTER_BYE: Nanos = SEC + SOCKET_DELAY_ALLOWANCE;
+/// The same where the exchange could not send a BYE, counted from the end of the call. The controller has to detect
+/// the end by itself, even before the journal reports the machine as gone.
+const RELEASE_LIMIT_WITHOUT_BYE: Nanos = 8 * SEC + SOCKET_DELAY_ALLOWANCE;
+/// A set-up that arrives later than this after SIGTERM has to be answered before SIGKILL.
+const LATE_SET_UP_AFTER_SIGTERM: Nanos = 700 * MS;
+/// How long the record of an ended call is kept past its deadline, for messages that cross the call's end.
+const ENDED_CALL_RETENTION: Nanos = 20 * SEC;
+/// Breaches that are reported in full; further ones are only counted.
+const MAX_REPORTED_BREACHES: usize = 50;
+/// Messages that are kept of each call, the latest ones.
+const MAX_MESSAGES_PER_CALL: usize = 60;
+
+/// An invariant that every controller has to keep. The names are those in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
     /// Each call has one final answer, and no second one.
     OneFinalAnswer,
-    /// It comes before the caller gives up.
+    /// The final answer comes before the caller gives up.
     AnswerInTime,
-    /// One attempt is out at a time.
+    /// A call has at most one attempt out at a time.
     OneAttemptOut,
-    /// Attempts are capped.
+    /// A call makes no more attempts than the script allows.
     AttemptsCapped,
-    /// A call that has its final answer, or was given up, is not sent.
+    /// No set-up is sent for a call that has its final answer or was given up.
     NothingAfterTheEnd,
-    /// Nothing new to a node that drains or is gone.
+    /// No set-up is sent to a node that drains or is gone.
     DrainKept,
-    /// The wait after a time-out, a reset or a cancel.
+    /// A call is sent again only after the wait that follows a time-out, a lost connection or a CANCEL.
     ReleaseWaited,
-    /// No cold processor is pushed over.
+    /// Controllers that know of a cold processor do not crash it with set-ups.
     ColdBudget,
-    /// A call in transit goes to its destination only, and none to the own exchange.
+    /// A call in transit is sent to its destination only, and no call to the controller's own exchange.
     Transit,
-    /// What stood and is over is released towards its caller in time.
+    /// A call that stood and has ended is released towards its caller in time.
     ReleasePassed,
-    /// Ids, classes, numbers and descriptions pass unchanged, and answers are those of an exchange.
+    /// Ids, classes, numbers and descriptions pass unchanged, and answers are those that an exchange gave.
     Unchanged,
-    /// What a controller writes can be read.
+    /// A controller's output can be parsed.
     Readable,
-    /// A controller ends when it is told to, and not before.
+    /// A controller's process ends only when it is told to.
     RunsOn,
-    /// It is ready in time after its start.
+    /// A controller accepts connections in time after its start.
     ReadyInTime,
-    /// It keeps within its memory and its descriptors.
+    /// A controller stays within its limits of memory and file descriptors.
     WithinLimits,
-    /// A bad caller is told something or closed in time.
+    /// A misbehaving caller gets a response or is disconnected in time.
     BadCallerTold,
 }
 
-/// What came closest to a limit, or went furthest past it, in seconds.
+/// The longest delay observed against each time limit, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Worst {
-    /// From the end of a call, of which its exchange could say nothing, until its caller was told.
+pub struct WorstDelays {
+    /// From the end of a call whose exchange could not send a BYE until its caller was told.
     pub told_after_end_s: f64,
-    /// From an exchange's release until the caller was told.
+    /// From an exchange's BYE until the caller was told.
     pub told_after_release_s: f64,
-    /// From when a drain or an end counts as told until a set-up still went there.
+    /// From when a controller counts as told that a node drains or is gone until its last set-up to that node.
     pub set_up_after_drain_s: f64,
-    /// From a caller's deadline until its final answer.
+    /// From a caller's deadline until its final answer, where that came late.
     pub answer_after_deadline_s: f64,
 }
 
-impl Worst {
-    /// Takes in what another run came to.
-    pub fn add(&mut self, other: &Worst) {
+impl WorstDelays {
+    /// Raises each delay to that of another run, where that is longer.
+    pub fn add(&mut self, other: &WorstDelays) {
         raise(&mut self.told_after_end_s, other.told_after_end_s);
         raise(&mut self.told_after_release_s, other.told_after_release_s);
         raise(&mut self.set_up_after_drain_s, other.set_up_after_drain_s);
@@ -97,21 +97,21 @@
     }
 }
 
-fn raise(worst: &mut f64, seconds: f64) {
-    *worst = worst.max(seconds);
+fn raise(longest: &mut f64, seconds: f64) {
+    *longest = longest.max(seconds);
 }
 
-fn seconds(span: Nanos) -> f64 {
+fn to_seconds(span: Nanos) -> f64 {
     (span / MS) as f64 / 1_000.0
 }
 
 impl Rule {
-    /// Its name in reports.
+    /// The rule's name in reports.
     pub fn name(self) -> String {
         serde_json::to_value(self).ok().and_then(|v| v.as_str().map(String::from)).unwrap_or_default()
     }
 
-    /// All of them.
+    /// All rules.
     pub const ALL: [Rule; 16] = [
         Rule::OneFinalAnswer,
         Rule::AnswerInTime,
@@ -132,23 +132,24 @@
     ];
 }
 
-/// What passed on the wires, or was told.
+/// An event that the simulated world reports to the auditor: a message on a wire, a change of a controller's
+/// process, or a journal update. `id` is the call's.
 #[allow(missing_docs)]
 #[derive(Clone, Copy, Debug)]
 pub enum Observation<'a> {
-    /// A controller was killed, after it was told to end where that is said.
+    /// A controller was killed. `terminated_at`: when it got SIGTERM before, if it did.
     ControllerKilled { controller: usize, terminated_at: Option<Nanos> },
-    /// A controller that was told to end has ended.
+    /// A controller exited after SIGTERM.
     ControllerExited { controller: usize },
-    /// A controller has ended of its own accord.
+    /// A controller's process ended without being told to.
     ControllerCrashed { controller: usize, exit_status: &'a str },
-    /// A controller was not ready in time.
+    /// A controller did not accept connections in time after its start.
     ControllerNotReady { controller: usize },
-    /// A controller takes more of the machine than it may.
+    /// A controller uses more memory or file descriptors than it may.
     ControllerOverLimit { controller: usize, memory_mb: u64, descriptors: u64 },
-    /// A bad caller was neither told anything nor closed in time.
+    /// A misbehaving caller got neither a response nor a closed connection in time.
     BadCallerIgnored { controller: usize },
-    /// A caller's set-up, or one in transit that came of another call.
+    /// A caller's set-up, or one in transit: the leg of a parent call that another controller sent on.
     SetUpFromCaller {
         controller: usize,
         id: u64,
@@ -159,15 +160,15 @@
         destination: usize,
         parent_call: Option<u64>,
     },
-    /// The caller waits no longer.
+    /// The caller gave up its set-up.
     CallerGaveUp { controller: usize, id: u64 },
-    /// The caller's connection ended under its set-up.
+    /// The caller's connection ended while its set-up was unanswered.
     CallerDisconnected { controller: usize, id: u64 },
-    /// The controller said that the call stands.
+    /// The controller told the caller that the call stands.
     AnswerToCaller { controller: usize, id: u64, description: &'a [u8] },
-    /// The controller refused, failed or released it.
+    /// The controller refused, failed or released the call.
     ReleaseToCaller { controller: usize, id: u64, cause: u8, retry_after: Option<Nanos> },
-    /// A set-up reached a node.
+    /// A controller's set-up reached a node.
     InviteToNode {
         controller: usize,
         node: usize,
@@ -177,26 +178,27 @@
         number: &'a str,
         description: &'a [u8],
     },
-    /// The controller gave the attempt up.
+    /// The controller gave up the attempt.
     CancelToNode { controller: usize, id: u64 },
-    /// The connection that it was out on is gone.
+    /// The connection that carried the attempt is gone.
     AttemptConnectionLost { controller: usize, id: u64 },
-    /// The controller released what stands.
+    /// The controller released a call that stands.
     ByeFromController { controller: usize, id: u64 },
-    /// The node's final response.
+    /// The node's final response to a set-up.
     ResponseFromNode { controller: usize, id: u64, code: u16, cause: &'a str, description: &'a [u8] },
-    /// The node released what stood.
+    /// The node released a call that stood.
     ByeFromNode { controller: usize, id: u64, cause: u8 },
-    /// What stood at a node is over, whether it could say so or not.
+    /// A call that stood at a node has ended there, whether or not the node could send a BYE.
     CallEndedAtNode { controller: usize, id: u64 },
-    /// The register's service holds news of a machine. `after_outage`: it can be reached after calls to it had failed.
+    /// A controller's journal service has an update on a machine. `after_outage`: it had it before, and has just
+    /// recovered from an outage.
     JournalUpdateAvailable { controller: usize, machine: usize, state: &'static str, after_outage: bool },
-    /// It has told them.
+    /// The journal service sent the update to its controller.
     JournalUpdateSent { controller: usize, machine: usize, state: &'static str },
 }
 
 impl Observation<'_> {
-    fn call(&self) -> Option<(usize, u64)> {
+    fn call_key(&self) -> Option<(usize, u64)> {
         match *self {
             Observation::SetUpFromCaller { controller, id, .. }
             | Observation::CallerGaveUp { controller, id }
@@ -214,26 +216,25 @@
         }
     }
 
-    fn text(&self) -> String {
+    fn describe(&self) -> String {
         match *self {
-            Observation::SetUpFromCaller {
-                class,
-                number,
-                timeout: wait,
-                destination,
-                parent_call: transit,
-                ..
-            } => {
-                let from = transit.map_or(String::new(), |t| format!(", in transit for {t:016x}"));
-                format!("set-up of {class} to n{destination}, number {number}, waits {} ms{from}", wait / MS)
+            Observation::SetUpFromCaller { class, number, timeout, destination, parent_call, .. } => {
+                let from = parent_call
+                    .map_or(String::new(), |parent| format!(", in transit for call {parent:016x}"));
+                format!(
+                    "set-up of {class} to n{destination}, number {number}, waits {} ms{from}",
+                    timeout / MS
+                )
             }
             Observation::CallerGaveUp { .. } => "given up by its caller".into(),
             Observation::CallerDisconnected { .. } => "its caller's connection ended".into(),
             Observation::AnswerToCaller { description, .. } => {
                 format!("caller told: stands ({} bytes)", description.len())
             }
-            Observation::ReleaseToCaller { cause, retry_after: pause, .. } => match pause {
-                Some(pause) => format!("caller told: release {cause}, come back after {} ms", pause / MS),
+            Observation::ReleaseToCaller { cause, retry_after, .. } => match retry_after {
+                Some(retry_after) => {
+                    format!("caller told: release {cause}, retry after {} ms", retry_after / MS)
+                }
                 None => format!("caller told: release {cause}"),
             },
             Observation::InviteToNode { node, machine, .. } => {
@@ -252,338 +253,382 @@
     }
 }
 
-/// A rule that was broken.
+/// One breach of a rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// By which controller.
+    /// The controller that broke it.
     pub controller: String,
-    /// The call, where there is one.
+    /// The call, where the breach concerns one.
     pub call: Option<String>,
-    /// When, in seconds from the start.
+    /// Seconds from the start of the rehearsal.
     pub at: f64,
     /// What happened.
     pub what: String,
-    /// The messages of the call up to then.
+    /// The call's messages up to then.
     pub messages: Vec<String>,
 }
 
+/// What the auditor knows of one call at one controller.
 #[derive(Debug, Default)]
-struct Record {
+struct CallRecord {
     class: String,
     number: String,
     description: Vec<u8>,
-    sent: Nanos,
+    set_up_at: Nanos,
     deadline: Nanos,
     destination: usize,
-    transit: bool,
-    /// The final answer was given; the caller waits no longer; its set-up was lost with its controller.
+    in_transit: bool,
+    /// The caller got its final answer.
     answered: bool,
+    /// The caller waits no longer, or its set-up was lost with its controller.
     given_up: bool,
     stands: bool,
-    out: bool,
+    /// An attempt is out.
+    attempt_out: bool,
     attempts: u32,
-    /// When an attempt last ended that may have left something behind.
-    waits_from: Option<Nanos>,
-    /// Descriptions that exchanges answered with.
-    answers: Vec<Vec<u8>>,
-    /// The caller must be told that it is over by then.
+    /// When an attempt last ended whose resources at the node may still be held.
+    retry_wait_from: Option<Nanos>,
+    /// Descriptions in the exchanges' answers.
+    node_answers: Vec<Vec<u8>>,
+    /// When the caller has to be told of the call's end at the latest.
     release_by: Option<Nanos>,
-    /// When it was over, and when its exchange first said so.
-    over_at: Option<Nanos>,
-    released_at: Option<Nanos>,
-    /// The controller that had it is no more: its successor knows only what it is told.
+    /// When the call ended at its node.
+    ended_at: Option<Nanos>,
+    /// When the node first sent a BYE.
+    bye_at: Option<Nanos>,
+    /// The controller that had the call is gone; its successor knows only what it is told.
     orphaned: bool,
-    ended: bool,
+    /// The controller released the call, towards its caller or its node.
+    released: bool,
     messages: Vec<String>,
 }
 
-/// Sees everything and checks the rules.
+/// Checks the rules against a stream of [`Observation`]s.
 pub struct Auditor {
-    attempts: u32,
-    base: Option<Nanos>,
-    records: HashMap<(usize, u64), Record>,
-    /// When the records are looked at again.
-    due: BTreeSet<(Nanos, usize, u64)>,
-    /// By controller and machine, since when it counts as told that nothing new may go there.
-    closed: HashMap<(usize, usize), Nanos>,
-    /// When machines started anew.
-    started: HashMap<usize, Nanos>,
-    /// Controllers that were told of a machine's latest start.
-    told_start: BTreeSet<(usize, usize)>,
-    counts: BTreeMap<Rule, u64>,
+    max_attempts: u32,
+    /// The time of the first observation.
+    started_at: Option<Nanos>,
+    /// By controller and call id.
+    records: HashMap<(usize, u64), CallRecord>,
+    /// When each record is to be checked: time, controller and call id.
+    deadlines: BTreeSet<(Nanos, usize, u64)>,
+    /// By controller and machine: since when the controller counts as told not to send set-ups there.
+    closed_since: HashMap<(usize, usize), Nanos>,
+    /// When each machine last started.
+    machine_starts: HashMap<usize, Nanos>,
+    /// Controller and machine, where the controller was told of the machine's latest start.
+    knows_start: BTreeSet<(usize, usize)>,
+    breach_counts: BTreeMap<Rule, u64>,
     breaches: Vec<Breach>,
-    traced: BTreeSet<u64>,
-    trace: Vec<String>,
-    worst: Worst,
+    traced_calls: BTreeSet<u64>,
+    trace_lines: Vec<String>,
+    worst: WorstDelays,
 }
 
 impl Auditor {
-    /// An auditor of this script's rules.
+    /// Makes an auditor for a rehearsal of this script.
     pub fn new(script: &Script) -> Auditor {
         Auditor {
-            attempts: script.controllers.attempts,
-            base: None,
+            max_attempts: script.controllers.attempts,
+            started_at: None,
             records: HashMap::new(),
-            due: BTreeSet::new(),
-            closed: HashMap::new(),
-            started: HashMap::new(),
-            told_start: BTreeSet::new(),
-            counts: BTreeMap::new(),
+            deadlines: BTreeSet::new(),
+            closed_since: HashMap::new(),
+            machine_starts: HashMap::new(),
+            knows_start: BTreeSet::new(),
+            breach_counts: BTreeMap::new(),
             breaches: Vec::new(),
-            traced: BTreeSet::new(),
-            trace: Vec::new(),
-            worst: Worst::default(),
+            traced_calls: BTreeSet::new(),
+            trace_lines: Vec::new(),
+            worst: WorstDelays::default(),
         }
     }
 
-    /// Writes down all that passes for a call, and for the calls in transit that come of it.
+    /// Traces a call: all its messages are kept, and those of its legs in transit.
     pub fn trace_call(&mut self, call: u64) {
-        self.traced.insert(call);
+        self.traced_calls.insert(call);
     }
 
-    /// What was written down.
+    /// The messages of the traced calls.
     pub fn trace_lines(&self) -> &[String] {
-        &self.trace
+        &self.trace_lines
     }
 
     /// How often each rule was broken.
     pub fn counts(&self) -> BTreeMap<Rule, u64> {
-        Rule::ALL.iter().map(|r| (*r, self.counts.get(r).copied().unwrap_or(0))).collect()
+        Rule::ALL.iter().map(|r| (*r, self.breach_counts.get(r).copied().unwrap_or(0))).collect()
     }
 
-    /// What came closest to a limit.
-    pub fn worst(&self) -> Worst {
+    /// The longest delay against each time limit.
+    pub fn worst(&self) -> WorstDelays {
         self.worst
     }
 
-    /// The first breaches, in full.
+    /// The first breaches in full; further ones are only counted.
     pub fn breaches(&self) -> &[Breach] {
         &self.breaches
     }
 
-    fn seconds(&self, now: Nanos) -> f64 {
-        now.saturating_sub(self.base.unwrap_or(now)) as f64 * 1e-9
+    fn seconds_since_start(&self, now: Nanos) -> f64 {
+        now.saturating_sub(self.started_at.unwrap_or(now)) as f64 * 1e-9
     }
 
-    fn breach(&mut self, now: Nanos, rule: Rule, (controller, id): (usize, Option<u64>), what: String) {
-        *self.counts.entry(rule).or_insert(0) += 1;
-        if self.breaches.len() < WRITTEN_OUT {
+    fn record_breach(
+        &mut self,
+        now: Nanos,
+        rule: Rule,
+        (controller, id): (usize, Option<u64>),
+        what: String,
+    ) {
+        *self.breach_counts.entry(rule).or_insert(0) += 1;
+        if self.breaches.len() < MAX_REPORTED_BREACHES {
             let record = id.and_then(|id| self.records.get(&(controller, id)));
             self.breaches.push(Breach {
                 rule,
                 controller: format!("n{controller}"),
                 call: id.map(|id| format!("{id:016x}")),
-                at: self.seconds(now),
+                at: self.seconds_since_start(now),
                 what,
                 messages: record.map(|r| r.messages.clone()).unwrap_or_default(),
             });
         }
     }
 
-    /// A controller wrote what cannot be read.
+    /// A controller wrote bytes that cannot be parsed.
     pub fn malformed_output(&mut self, now: Nanos, controller: usize) {
-        self.breach(now, Rule::Readable, (controller, None), "bytes that are no message".into());
+        self.record_breach(now, Rule::Readable, (controller, None), "output that cannot be parsed".into());
     }
 
-    /// A machine has started: who was told of an earlier start does not know of this one.
+    /// A machine has started. Controllers that were told of an earlier start do not know of this one yet.
     pub fn machine_started(&mut self, now: Nanos, machine: usize) {
-        self.started.insert(machine, now);
-        self.told_start.retain(|(_, m)| *m != machine);
+        self.machine_starts.insert(machine, now);
+        self.knows_start.retain(|(_, m)| *m != machine);
     }
 
-    /// A cold processor was pushed over by set-ups from these controllers. The rule is broken if two thirds of
-    /// them knew of its start.
+    /// A cold processor crashed under set-ups, each from one of these controllers. The rule is broken if at least two
+    /// thirds of the set-ups came from controllers that knew of its start.
     pub fn cold_processor_crashed(&mut self, now: Nanos, machine: usize, node: usize, from: &[usize]) {
-        let knew = from.iter().filter(|c| self.told_start.contains(&(**c, machine))).count();
-        if 3 * knew >= 2 * from.len() {
-            let what = format!("n{node} was pushed over: {} set-ups, {knew} by those who knew", from.len());
-            self.breach(now, Rule::ColdBudget, (from.last().copied().unwrap_or(node), None), what);
+        let informed = from.iter().filter(|c| self.knows_start.contains(&(**c, machine))).count();
+        if 3 * informed >= 2 * from.len() {
+            let what = format!(
+                "n{node} crashed while cold: {} set-ups, {informed} from controllers told of its start",
+                from.len()
+            );
+            self.record_breach(now, Rule::ColdBudget, (from.last().copied().unwrap_or(node), None), what);
         }
     }
 
-    /// Lets time pass: what was due and has not come is a breach.
+    /// Advances the time: a message that was due and has not come is a breach.
     pub fn advance(&mut self, now: Nanos) {
-        while let Some(&(at, controller, id)) = self.due.first().filter(|d| d.0 < now) {
-            self.due.remove(&(at, controller, id));
+        while let Some(&(at, controller, id)) = self.deadlines.first().filter(|d| d.0 < now) {
+            self.deadlines.remove(&(at, controller, id));
             let Some(record) = self.records.get_mut(&(controller, id)) else { continue };
             if record.release_by.is_some_and(|by| by <= at) {
                 record.release_by = None;
-                let what = "over, and its caller was not told in time".into();
-                self.breach(at, Rule::ReleasePassed, (controller, Some(id)), what);
+                let what = "the call ended, and its caller was not told in time".into();
+                self.record_breach(at, Rule::ReleasePassed, (controller, Some(id)), what);
             } else if !record.answered && !record.given_up && record.deadline + ANSWER_GRACE <= at {
                 record.given_up = true;
                 let what = "no final answer before the caller gave up".into();
-                self.breach(at, Rule::AnswerInTime, (controller, Some(id)), what);
+                self.record_breach(at, Rule::AnswerInTime, (controller, Some(id)), what);
             }
             let record = &self.records[&(controller, id)];
-            if record.ended || record.given_up || record.answered && !record.stands {
-                if at > record.deadline + REMEMBERED {
+            if record.released || record.given_up || record.answered && !record.stands {
+                if at > record.deadline + ENDED_CALL_RETENTION {
                     self.records.remove(&(controller, id));
                 } else {
-                    self.due.insert((at + REMEMBERED, controller, id));
+                    self.deadlines.insert((at + ENDED_CALL_RETENTION, controller, id));
                 }
             }
         }
     }
 
-    /// The rehearsal is over.
+    /// Ends the audit: checks all that was due by now.
     pub fn finish(&mut self, now: Nanos) {
         self.advance(now);
     }
 
-    /// Takes in what passed.
-    pub fn observe(&mut self, now: Nanos, seen: Observation<'_>) {
-        self.base.get_or_insert(now);
-        let Some(key) = seen.call() else { return self.told(now, seen) };
-        let line = || format!("{:9.4} n{} {:016x} {}", self.seconds(now), key.0, key.1, seen.text());
+    /// Checks an observation against the rules and updates the call's record.
+    pub fn observe(&mut self, now: Nanos, observation: Observation<'_>) {
+        self.started_at.get_or_insert(now);
+        let Some(key) = observation.call_key() else {
+            return self.observe_controller_or_journal(now, observation);
+        };
+        let line = || {
+            format!(
+                "{:9.4} n{} {:016x} {}",
+                self.seconds_since_start(now),
+                key.0,
+                key.1,
+                observation.describe()
+            )
+        };
         let line = line();
-        if let Observation::SetUpFromCaller { parent_call: Some(parent), id, .. } = seen {
-            if self.traced.contains(&parent) {
-                self.traced.insert(id);
+        if let Observation::SetUpFromCaller { parent_call: Some(parent), id, .. } = observation {
+            if self.traced_calls.contains(&parent) {
+                self.traced_calls.insert(id);
             }
         }
-        if self.traced.contains(&key.1) {
-            self.trace.push(line.clone());
+        if self.traced_calls.contains(&key.1) {
+            self.trace_lines.push(line.clone());
         }
         if let Some(record) = self.records.get_mut(&key) {
-            // Of a call without end the last messages show as much.
-            if record.messages.len() >= MESSAGES {
+            // The latest messages are enough to show a breach.
+            if record.messages.len() >= MAX_MESSAGES_PER_CALL {
                 record.messages.remove(0);
             }
             record.messages.push(line);
-        } else if !matches!(seen, Observation::SetUpFromCaller { .. }) {
-            return self.unknown(now, key, seen);
+        } else if !matches!(observation, Observation::SetUpFromCaller { .. }) {
+            return self.observe_unknown_call(now, key, observation);
         }
-        self.call(now, key, seen);
+        self.observe_call(now, key, observation);
     }
 
-    fn unknown(&mut self, now: Nanos, (controller, id): (usize, u64), seen: Observation<'_>) {
-        let what = match seen {
+    fn observe_unknown_call(
+        &mut self,
+        now: Nanos,
+        (controller, id): (usize, u64),
+        observation: Observation<'_>,
+    ) {
+        let what = match observation {
             Observation::InviteToNode { .. } => "a set-up that no caller sent",
             Observation::AnswerToCaller { .. } => "an answer to a call that no caller made",
             _ => return,
         };
-        self.breach(now, Rule::Unchanged, (controller, Some(id)), what.into());
+        self.record_breach(now, Rule::Unchanged, (controller, Some(id)), what.into());
     }
 
-    fn told(&mut self, now: Nanos, seen: Observation<'_>) {
-        match seen {
-            Observation::ControllerKilled { controller, terminated_at: terminated } => {
-                self.killed(now, controller, terminated)
+    fn observe_controller_or_journal(&mut self, now: Nanos, observation: Observation<'_>) {
+        match observation {
+            Observation::ControllerKilled { controller, terminated_at } => {
+                self.controller_killed(now, controller, terminated_at)
             }
-            Observation::ControllerExited { controller } => self.orphan(controller),
-            Observation::ControllerCrashed { controller, exit_status: how } => {
-                self.breach(now, Rule::RunsOn, (controller, None), format!("ended by itself: {how}"));
+            Observation::ControllerExited { controller } => self.orphan_calls(controller),
+            Observation::ControllerCrashed { controller, exit_status } => {
+                self.record_breach(
+                    now,
+                    Rule::RunsOn,
+                    (controller, None),
+                    format!("the process ended unasked: {exit_status}"),
+                );
             }
             Observation::ControllerNotReady { controller } => {
-                self.breach(now, Rule::ReadyInTime, (controller, None), "not ready in time".into());
+                self.record_breach(
+                    now,
+                    Rule::ReadyInTime,
+                    (controller, None),
+                    "not ready in time after its start".into(),
+                );
             }
             Observation::ControllerOverLimit { controller, memory_mb, descriptors } => {
-                let what = format!("takes {memory_mb} MB and {descriptors} descriptors");
-                self.breach(now, Rule::WithinLimits, (controller, None), what);
+                let what =
+                    format!("uses {memory_mb} MB and {descriptors} file descriptors, more than allowed");
+                self.record_breach(now, Rule::WithinLimits, (controller, None), what);
             }
             Observation::BadCallerIgnored { controller } => {
-                let what = "a bad caller was neither told anything nor closed".into();
-                self.breach(now, Rule::BadCallerTold, (controller, None), what);
+                let what = "a misbehaving caller was neither answered nor disconnected".into();
+                self.record_breach(now, Rule::BadCallerTold, (controller, None), what);
             }
-            Observation::JournalUpdateAvailable { controller, machine, state, after_outage: again }
+            Observation::JournalUpdateAvailable { controller, machine, state, after_outage }
                 if state != "SERVING" =>
             {
-                let told = now + if again { TOLD_AFTER_FAILURE } else { TOLD_AT_LATEST };
-                let at = self.closed.entry((controller, machine)).or_insert(told);
-                *at = (*at).min(told);
+                let known_at =
+                    now + if after_outage { UPDATE_KNOWN_AFTER_OUTAGE } else { UPDATE_KNOWN_AFTER };
+                let at = self.closed_since.entry((controller, machine)).or_insert(known_at);
+                *at = (*at).min(known_at);
             }
             Observation::JournalUpdateSent { controller, machine, state: "SERVING" } => {
-                self.closed.remove(&(controller, machine));
-                if self.started.contains_key(&machine) {
-                    self.told_start.insert((controller, machine));
+                self.closed_since.remove(&(controller, machine));
+                if self.machine_starts.contains_key(&machine) {
+                    self.knows_start.insert((controller, machine));
                 }
             }
             Observation::JournalUpdateSent { controller, machine, .. } => {
-                let at = self.closed.entry((controller, machine)).or_insert(now);
+                let at = self.closed_since.entry((controller, machine)).or_insert(now);
                 *at = (*at).min(now);
             }
             _ => {}
         }
     }
 
-    /// A controller was killed: what it had taken is lost with it, and what was said to it did not arrive. After
-    /// SIGTERM, what came late and is unanswered should have been answered.
-    fn killed(&mut self, now: Nanos, controller: usize, terminated: Option<Nanos>) {
-        let late = |r: &Record| terminated.is_some_and(|at| r.sent > at + TAKEN_LATE);
+    /// A controller was killed: its unanswered set-ups are lost with it. Those that arrived late after SIGTERM should
+    /// have been answered before.
+    fn controller_killed(&mut self, now: Nanos, controller: usize, terminated_at: Option<Nanos>) {
+        let late =
+            |r: &CallRecord| terminated_at.is_some_and(|at| r.set_up_at > at + LATE_SET_UP_AFTER_SIGTERM);
         let open = self.records.iter().filter(|((c, _), r)| *c == controller && !r.answered && !r.given_up);
         let mut lost: Vec<u64> = open.filter(|(_, r)| late(r)).map(|((_, id), _)| *id).collect();
         lost.sort_unstable();
         for id in lost {
-            let what = "taken late after SIGTERM, and not answered before SIGKILL".into();
-            self.breach(now, Rule::OneFinalAnswer, (controller, Some(id)), what);
+            let what = "set-up arrived late after SIGTERM and was not answered before SIGKILL".into();
+            self.record_breach(now, Rule::OneFinalAnswer, (controller, Some(id)), what);
         }
         for ((c, _), record) in &mut self.records {
             if *c == controller {
                 record.given_up |= !record.answered;
             }
         }
-        self.orphan(controller);
+        self.orphan_calls(controller);
     }
 
-    /// A controller runs no more: its successor knows nothing of its calls, nor of what it was told.
-    fn orphan(&mut self, controller: usize) {
+    /// A controller's process is gone: its successor knows neither its calls nor the updates that it was sent.
+    fn orphan_calls(&mut self, controller: usize) {
         for ((c, _), record) in &mut self.records {
             if *c == controller {
                 record.orphaned = true;
                 record.release_by = None;
             }
         }
-        self.closed.retain(|(c, _), _| *c != controller);
-        self.told_start.retain(|(c, _)| *c != controller);
+        self.closed_since.retain(|(c, _), _| *c != controller);
+        self.knows_start.retain(|(c, _)| *c != controller);
     }
 
-    fn call(&mut self, now: Nanos, key: (usize, u64), seen: Observation<'_>) {
-        let place = (key.0, Some(key.1));
-        match seen {
+    fn observe_call(&mut self, now: Nanos, key: (usize, u64), observation: Observation<'_>) {
+        let subject = (key.0, Some(key.1));
+        match observation {
             Observation::SetUpFromCaller {
                 class,
                 number,
                 description,
-                timeout: wait,
+                timeout,
                 destination,
-                parent_call: transit,
+                parent_call,
                 ..
             } => {
-                let deadline = now + wait;
-                let record = Record {
+                let deadline = now + timeout;
+                let record = CallRecord {
                     class: class.into(),
                     number: number.into(),
                     description: description.into(),
-                    sent: now,
+                    set_up_at: now,
                     deadline,
                     destination,
-                    transit: transit.is_some(),
+                    in_transit: parent_call.is_some(),
                     messages: vec![format!(
                         "{:9.4} n{} {:016x} {}",
-                        self.seconds(now),
+                        self.seconds_since_start(now),
                         key.0,
                         key.1,
-                        seen.text()
+                        observation.describe()
                     )],
-                    ..Record::default()
+                    ..CallRecord::default()
                 };
                 self.records.insert(key, record);
-                self.due.insert((deadline + ANSWER_GRACE, key.0, key.1));
+                self.deadlines.insert((deadline + ANSWER_GRACE, key.0, key.1));
                 return;
             }
             Observation::InviteToNode { node, machine, class, number, description, .. } => {
-                return self.invite(now, key, (node, machine), (class, number, description));
+                return self.observe_invite(now, key, (node, machine), (class, number, description));
             }
             _ => {}
         }
         let Some(record) = self.records.get_mut(&key) else { return };
         let mut broken = None;
-        match seen {
+        match observation {
             Observation::CallerGaveUp { .. } | Observation::CallerDisconnected { .. } => {
-                let lost = matches!(seen, Observation::CallerDisconnected { .. })
+                let lost = matches!(observation, Observation::CallerDisconnected { .. })
                     && !record.answered
                     && !record.given_up;
                 let late = now >= record.deadline + ANSWER_GRACE && !record.answered && !record.given_up;
@@ -591,35 +636,36 @@
                 if late {
                     broken = Some((Rule::AnswerInTime, "no final answer before the caller gave up"));
                 } else if lost {
-                    broken = Some((Rule::OneFinalAnswer, "its connection was closed and no answer given"));
+                    broken = Some((Rule::OneFinalAnswer, "its connection was closed without a final answer"));
                 }
             }
             Observation::AnswerToCaller { description, .. } => {
                 if record.answered {
                     broken = Some((Rule::OneFinalAnswer, "a second final answer"));
                 } else if record.given_up {
-                    // It crossed the caller's giving up: nothing is owed, and nothing stands.
+                    // The answer crossed the caller's release: no answer is due, and the call does not stand.
                 } else if now > record.deadline + ANSWER_GRACE {
                     broken = Some((Rule::AnswerInTime, "the answer came after the caller gave up"));
-                } else if !record.answers.iter().any(|a| a == description) {
+                } else if !record.node_answers.iter().any(|a| a == description) {
                     broken = Some((Rule::Unchanged, "the answer is not one that an exchange gave"));
                 }
                 if !record.answered && !record.given_up && now > record.deadline {
-                    raise(&mut self.worst.answer_after_deadline_s, seconds(now - record.deadline));
+                    raise(&mut self.worst.answer_after_deadline_s, to_seconds(now - record.deadline));
                 }
                 record.stands |= !record.answered && !record.given_up;
                 record.answered = true;
             }
-            // A successor passes on what it never saw; that its predecessor had failed the call it cannot know.
+            // A successor passes on the release of a call that it never saw: it cannot know that its predecessor had
+            // already failed that call.
             Observation::ReleaseToCaller { .. } if record.stands || record.orphaned => {
-                if !record.ended && !record.orphaned {
-                    if let Some(at) = record.released_at {
-                        raise(&mut self.worst.told_after_release_s, seconds(now - at));
-                    } else if let Some(at) = record.over_at {
-                        raise(&mut self.worst.told_after_end_s, seconds(now - at));
+                if !record.released && !record.orphaned {
+                    if let Some(at) = record.bye_at {
+                        raise(&mut self.worst.told_after_release_s, to_seconds(now - at));
+                    } else if let Some(at) = record.ended_at {
+                        raise(&mut self.worst.told_after_end_s, to_seconds(now - at));
                     }
                 }
-                (record.ended, record.release_by) = (true, None);
+                (record.released, record.release_by) = (true, None);
             }
             Observation::ReleaseToCaller { .. } => {
                 if record.answered {
@@ -629,46 +675,48 @@
                 }
                 record.answered = true;
             }
-            Observation::CancelToNode { .. } => (record.out, record.waits_from) = (false, Some(now)),
-            Observation::AttemptConnectionLost { .. } if record.out => {
-                (record.out, record.waits_from) = (false, Some(now))
+            Observation::CancelToNode { .. } => {
+                (record.attempt_out, record.retry_wait_from) = (false, Some(now))
+            }
+            Observation::AttemptConnectionLost { .. } if record.attempt_out => {
+                (record.attempt_out, record.retry_wait_from) = (false, Some(now))
             }
-            Observation::ByeFromController { .. } => (record.ended, record.release_by) = (true, None),
+            Observation::ByeFromController { .. } => (record.released, record.release_by) = (true, None),
             Observation::ResponseFromNode { code, description, .. } => {
-                record.out = false;
+                record.attempt_out = false;
                 match code {
-                    200 => record.answers.push(description.to_vec()),
-                    504 => record.waits_from = Some(now),
+                    200 => record.node_answers.push(description.to_vec()),
+                    504 => record.retry_wait_from = Some(now),
                     _ => {}
                 }
             }
             Observation::ByeFromNode { .. } | Observation::CallEndedAtNode { .. } => {
-                let said = matches!(seen, Observation::ByeFromNode { .. });
-                let first = if said { &mut record.released_at } else { &mut record.over_at };
+                let has_bye = matches!(observation, Observation::ByeFromNode { .. });
+                let first = if has_bye { &mut record.bye_at } else { &mut record.ended_at };
                 first.get_or_insert(now);
-                let by = now + if said { RELEASED_AFTER_BYE } else { RELEASED_AFTER_END };
-                if record.stands && !record.ended && (said || !record.orphaned) {
+                let by = now + if has_bye { RELEASE_LIMIT_AFTER_BYE } else { RELEASE_LIMIT_WITHOUT_BYE };
+                if record.stands && !record.released && (has_bye || !record.orphaned) {
                     let by = record.release_by.map_or(by, |known| known.min(by));
                     record.release_by = Some(by);
-                    self.due.insert((by, key.0, key.1));
+                    self.deadlines.insert((by, key.0, key.1));
                 }
             }
             _ => {}
         }
         if let Some((rule, what)) = broken {
-            self.breach(now, rule, place, what.into());
+            self.record_breach(now, rule, subject, what.into());
         }
     }
 
-    fn invite(
+    fn observe_invite(
         &mut self,
         now: Nanos,
         key: (usize, u64),
         (node, machine): (usize, usize),
         (class, number, description): (&str, &str, &[u8]),
     ) {
-        let (cap, place) = (self.attempts, (key.0, Some(key.1)));
-        let closed = self.closed.get(&(key.0, machine)).copied();
+        let (max_attempts, subject) = (self.max_attempts, (key.0, Some(key.1)));
+        let closed = self.closed_since.get(&(key.0, machine)).copied();
         let Some(record) = self.records.get_mut(&key) else { return };
         let mut broken = Vec::new();
         if (record.class.as_str(), record.number.as_str(), &record.description[..])
@@ -677,30 +725,39 @@
             broken.push((Rule::Unchanged, "the set-up differs from the caller's"));
         }
         if record.answered || record.given_up {
-            broken.push((Rule::NothingAfterTheEnd, "a set-up after the call's end"));
+            broken.push((
+                Rule::NothingAfterTheEnd,
+                "a set-up after the final answer or after the caller gave up",
+            ));
         }
-        if record.out {
+        if record.attempt_out {
             broken.push((Rule::OneAttemptOut, "a second attempt while one is out"));
         }
         record.attempts += 1;
-        if record.attempts > cap {
-            broken.push((Rule::AttemptsCapped, "one attempt too many"));
+        if record.attempts > max_attempts {
+            broken.push((Rule::AttemptsCapped, "more attempts than allowed"));
         }
-        if record.waits_from.is_some_and(|from| now < from + RELEASE_WAIT) {
-            broken.push((Rule::ReleaseWaited, "sent again before what it held is surely free"));
+        if record.retry_wait_from.is_some_and(|from| now < from + RELEASE_WAIT) {
+            broken.push((Rule::ReleaseWaited, "sent again before the wait after an unclean end was over"));
         }
-        if node == key.0 || record.transit && node != record.destination {
-            broken.push((Rule::Transit, "sent where it may not go"));
+        if node == key.0 || record.in_transit && node != record.destination {
+            broken.push((
+                Rule::Transit,
+                "sent to its own exchange, or in transit to a node that is not its destination",
+            ));
         }
         if let Some(at) = closed.filter(|at| now > *at) {
-            raise(&mut self.worst.set_up_after_drain_s, seconds(now - at));
+            raise(&mut self.worst.set_up_after_drain_s, to_seconds(now - at));
         }
         if closed.is_some_and(|at| now > at + DRAIN_GRACE) {
-            broken.push((Rule::DrainKept, "sent to a node told to drain or to be gone"));
+            broken.push((
+                Rule::DrainKept,
+                "sent to a node after the controller was told that it drains or is gone",
+            ));
         }
-        record.out = true;
+        record.attempt_out = true;
         for (rule, what) in broken {
-            self.breach(now, rule, place, what.into());
+            self.record_breach(now, rule, subject, what.into());
         }
     }
 }
--- a/rehearsal/src/lib.rs
+++ b/rehearsal/src/lib.rs
@@ -1,10 +1,9 @@
-//! Incidents written down and played against whole dillhold controllers, the same every time.
+//! Plays scripted incidents against whole dillhold controllers, reproducibly from a seed.
 //!
-//! A [`script::Script`] says what the world is like and what happens in it. [`world::World`] plays callers, trunk
-//! groups, results nodes and the node register in discrete events; it is driven by a virtual clock
-//! ([`virtual_clock`]), with the controllers in this process, or by the wall's ([`wall_clock`]), with real
-//! processes on loopback sockets. [`audit::Auditor`] checks every rule from what passed on the wires, and
-//! [`report::Report`] says what it came to.
+//! A [`script::Script`] describes the network and the events of a rehearsal. [`world::World`] simulates callers, trunk
+//! groups, nodes and the journal services as discrete events. It is driven by a virtual clock ([`virtual_clock`]), with
+//! the controllers in this process, or by the wall clock ([`wall_clock`]), with real processes on loopback sockets.
+//! [`audit::Auditor`] checks every rule against the messages on the wires, and [`report::Report`] holds the results.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -29,13 +28,13 @@
 use virtual_clock::ControllerFactory;
 use world::{seconds_to_nanos, World};
 
-/// Seconds in which calls are offered, in full or in the short form.
+/// How long calls are offered, in the script's full or short form.
 pub fn offering_seconds(script: &Script, short: bool) -> f64 {
     let full = script.seconds.0;
     script.short_seconds.filter(|_| short).map_or(full, |s| s.0)
 }
 
-/// Plays a script once on the virtual clock. `trace` is a call of which everything is written down.
+/// Plays a script once on the virtual clock; returns the report and the messages of the call `trace`.
 pub fn rehearse_once(
     script: &Script,
     seed: u64,
@@ -43,9 +42,9 @@
     trace: Option<u64>,
     make: ControllerFactory<'_>,
 ) -> Result<(RunReport, Vec<String>), String> {
-    let offers = seconds_to_nanos(offering_seconds(script, short));
+    let offering_time = seconds_to_nanos(offering_seconds(script, short));
     let addresses = Box::new(virtual_clock::endpoint_address);
-    let mut world = World::new(script.clone(), seed, virtual_clock::START_TIME, offers, addresses);
+    let mut world = World::new(script.clone(), seed, virtual_clock::START_TIME, offering_time, addresses);
     trace.into_iter().for_each(|call| world.auditor.trace_call(call));
     let (world, _) = virtual_clock::run(world, make)?;
     Ok((
@@ -54,30 +53,34 @@
     ))
 }
 
-/// What controllers measured in a rehearsal, and what was truly offered.
-pub struct Measured {
-    /// The rehearsal's report.
+/// The loads that controllers measured in a rehearsal, and those that were offered.
+pub struct MeasuredRehearsal {
+    /// The report of the run.
     pub run: RunReport,
-    /// The intervals of all controllers.
+    /// The intervals that all controllers measured.
     pub intervals: Vec<Interval>,
-    /// By class and the two ends of a group, the lower first: the load of fresh calls offered, in erlang of calls.
+    /// The load offered by first dials, in erlang of calls; by class and the two ends of a group, the lower first.
     pub offered: BTreeMap<(String, (u32, u32)), f64>,
 }
 
-/// Plays a script once on the virtual clock with controllers that measure by this calendar.
-pub fn rehearse_measured(script: &Script, seed: u64, calendar: &Calendar) -> Result<Measured, String> {
-    let offers = seconds_to_nanos(script.seconds.0);
+/// Plays a script once on the virtual clock, with controllers that measure in the intervals of this calendar.
+pub fn rehearse_measured(
+    script: &Script,
+    seed: u64,
+    calendar: &Calendar,
+) -> Result<MeasuredRehearsal, String> {
+    let offering_time = seconds_to_nanos(script.seconds.0);
     let addresses = Box::new(virtual_clock::endpoint_address);
-    let world = World::new(script.clone(), seed, virtual_clock::START_TIME, offers, addresses);
+    let world = World::new(script.clone(), seed, virtual_clock::START_TIME, offering_time, addresses);
     let offered = world.offered_load();
     let (world, intervals) =
         virtual_clock::run(world, &mut virtual_clock::new_measuring_engine(calendar.clone()))?;
     let run = RunReport::new(script, seed, &world.statistics, &world.auditor, world.digest());
-    Ok(Measured { run, intervals, offered })
+    Ok(MeasuredRehearsal { run, intervals, offered })
 }
 
-/// Plays a script with consecutive seeds on the virtual clock, in so many threads. The report is the same
-/// whatever their number.
+/// Plays a script `runs` times on the virtual clock, with consecutive seeds. The report doesn't depend on the number
+/// of threads.
 pub fn rehearse(
     script: &Script,
     seed: u64,
@@ -85,22 +88,23 @@
     threads: usize,
     short: bool,
 ) -> Result<Report, String> {
-    let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+    let (next_run, results) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..threads.clamp(1, runs.max(1)) {
             scope.spawn(|| loop {
-                let run = next.fetch_add(1, Ordering::Relaxed);
+                let run = next_run.fetch_add(1, Ordering::Relaxed);
                 if run >= runs {
                     return;
                 }
                 let result =
                     rehearse_once(script, seed + run as u64, short, None, &mut virtual_clock::new_engine);
-                done.lock().expect("no holder panics").push((run, result));
+                results.lock().expect("no thread panics while it holds the lock").push((run, result));
             });
         }
     });
-    let mut done = done.into_inner().expect("no holder panics");
-    done.sort_by_key(|(run, _)| *run);
-    let runs: Result<Vec<RunReport>, String> = done.into_iter().map(|(_, r)| r.map(|(run, _)| run)).collect();
+    let mut results = results.into_inner().expect("no thread panics while it holds the lock");
+    results.sort_by_key(|(run, _)| *run);
+    let runs: Result<Vec<RunReport>, String> =
+        results.into_iter().map(|(_, r)| r.map(|(run, _)| run)).collect();
     Ok(Report::new(script, "virtual", offering_seconds(script, short), runs?))
 }
--- a/rehearsal/src/report.rs
+++ b/rehearsal/src/report.rs
@@ -1,4 +1,4 @@
-//! What a rehearsal comes to: books kept while it is played, and the report made of them.
+//! Statistics that are collected while a rehearsal is played, and the report that is made of them.
 
 use std::collections::BTreeMap;
 
@@ -6,44 +6,44 @@
 use pitchgw::interface::Nanos;
 use serde::{Deserialize, Serialize};
 
-use crate::audit::Worst;
+use crate::audit::WorstDelays;
 use crate::script::Script;
 
-/// What became of a caller's call, over all its tries.
+/// The outcome of a caller's call, all its redials included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It stood in time and came to its natural end.
+    /// It stood within its aim, to its natural end.
     Stood,
-    /// It stood after its aim.
+    /// It stood, but later than its aim.
     Late,
-    /// Its last try was refused.
+    /// Its last dial was refused.
     Refused,
-    /// Its last try failed, or was given up.
+    /// Its last dial failed or was given up.
     Failed,
-    /// It stood and was cut.
+    /// It stood and was cut before its natural end.
     Cut,
 }
 
-/// Counts of calls, each with all its tries.
+/// Counts of calls by outcome. A call and its redials count as one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Calls {
     /// Calls offered.
     pub offered: u64,
-    /// Those that stood in time, to their end.
+    /// Calls that stood within their aim, to their natural end.
     pub stood: u64,
-    /// Those that stood after their aim.
+    /// Calls that stood later than their aim.
     pub late: u64,
-    /// Those that were refused in the end.
+    /// Calls whose last dial was refused.
     pub refused: u64,
-    /// Those that failed in the end.
+    /// Calls whose last dial failed or was given up.
     pub failed: u64,
-    /// Those that stood and were cut.
+    /// Calls that stood and were cut.
     pub cut: u64,
-    /// Further tries.
+    /// Redials of all calls.
     pub redials: u64,
 }
 
-/// One second: of the calls first offered in it.
+/// Worth of the calls that were first offered within one second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Window {
     /// Worth offered.
@@ -52,94 +52,97 @@
     pub earned: f64,
 }
 
-/// One class.
+/// The result of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassReport {
-    /// Share of its offered worth that was earned.
+    /// Share of the class's offered worth that was earned.
     pub service_worth: f64,
-    /// Its calls.
+    /// Calls of the class.
     pub calls: Calls,
 }
 
-/// One node, second by second.
+/// The load of one node, second by second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Longest wait at its processor, in seconds.
+    /// Longest wait at the node's processor in each second, in seconds.
     pub wait: Vec<f64>,
-    /// While it is cold: the second, the set-ups that came within the window, and how many may.
+    /// Samples while the processor is cold: time in seconds, set-ups that arrived within the window, and the budget.
     pub cold: Vec<(f64, f64, f64)>,
-    /// Set-ups that it turned away.
+    /// Set-ups that the node turned away.
     pub turned_away: u64,
 }
 
-/// An incident's band, for plots.
+/// The time span of an incident, drawn as a band in plots.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Band {
-    /// Its kind.
+    /// The kind of event.
     pub kind: String,
-    /// From, in seconds.
+    /// Start, in seconds from the start of the rehearsal.
     pub from: f64,
-    /// To.
+    /// End, in seconds.
     pub to: f64,
 }
 
-/// How long set-ups took that stood, in milliseconds.
+/// Set-up times of the calls that stood, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SetUpTimes {
-    /// Half took no longer.
+    /// Median.
     pub median: f64,
-    /// Ninety-nine of a hundred took no longer.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// A call that was lost, to be looked into with `--trace`.
+/// A lost call, to be examined with `--trace`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LostCall {
-    /// The id of its last try.
+    /// The id of its last dial.
     pub call: String,
-    /// The controller that had it.
+    /// The controller that handled it.
     pub controller: String,
-    /// Its class.
+    /// The call's class.
     pub class: String,
-    /// When it was first offered, in seconds.
+    /// Seconds from the start of the rehearsal to the first dial.
     pub at: f64,
-    /// What became of it.
+    /// The call's outcome.
     pub how: String,
 }
 
-/// Lost calls that are named in a report.
-const LOST_NAMED: usize = 200;
+/// Lost calls that a report lists in full.
+const MAX_LISTED_LOST_CALLS: usize = 200;
 
-/// Books that the world keeps.
+/// Counts and samples that the simulated world collects during a run.
 pub struct RunStatistics {
     windows: Vec<Window>,
+    /// By class: counts of calls, worth offered, worth earned.
     classes: Vec<(Calls, f64, f64)>,
-    worth: Vec<f64>,
+    /// By class: the worth of one call.
+    class_worth: Vec<f64>,
     nodes: Vec<NodeReport>,
     redials: u64,
     lost: Vec<LostCall>,
-    /// Microseconds from a try to its answer.
-    set_ups: Histogram<u64>,
-    /// What truly happened to machines, as the register will learn it.
+    /// Microseconds from a dial to its answer.
+    set_up_times_us: Histogram<u64>,
+    /// State changes of machines, in the order in which they happened: the machine, its new state and its boot time.
+    /// The journal services learn of them later.
     pub machine_changes: Vec<(usize, &'static str, Option<Nanos>)>,
 }
 
 impl RunStatistics {
-    /// Empty books.
-    pub fn new(script: &Script, offers: Nanos) -> RunStatistics {
-        let seconds = offers.div_ceil(1_000_000_000) as usize;
+    /// Makes empty statistics for a run in which calls are offered for this time.
+    pub fn new(script: &Script, offering_time: Nanos) -> RunStatistics {
+        let seconds = offering_time.div_ceil(1_000_000_000) as usize;
         let node = |name| NodeReport { name, wait: vec![0.0; seconds], ..NodeReport::default() };
         RunStatistics {
             windows: vec![Window::default(); seconds],
             classes: vec![Default::default(); script.classes.len()],
-            worth: script.classes.iter().map(|c| c.worth.0).collect(),
+            class_worth: script.classes.iter().map(|c| c.worth.0).collect(),
             nodes: script.node_names().map(node).collect(),
             redials: 0,
             lost: Vec::new(),
-            // Three digits up to the longest that a caller can wait: constants that the library takes.
-            set_ups: Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("sound bounds"),
+            // Three significant digits up to an hour, the longest that a caller can wait.
+            set_up_times_us: Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("valid constant bounds"),
             machine_changes: Vec::new(),
         }
     }
@@ -149,21 +152,21 @@
         &mut self.windows[(seconds as usize).min(last)]
     }
 
-    /// A call was offered.
+    /// A call was offered for the first time.
     pub fn record_offered(&mut self, class: usize, seconds: f64) {
-        let worth = self.worth[class];
+        let worth = self.class_worth[class];
         self.window(seconds).offered += worth;
         let (calls, offered, _) = &mut self.classes[class];
         calls.offered += 1;
         *offered += worth;
     }
 
-    /// It is known what became of a call that was first offered at this time.
-    pub fn record_outcome(&mut self, class: usize, seconds: f64, how: CallOutcome, worth: f64) {
+    /// A call that was first offered at this time has its outcome.
+    pub fn record_outcome(&mut self, class: usize, seconds: f64, outcome: CallOutcome, worth: f64) {
         self.window(seconds).earned += worth;
         let (calls, _, earned) = &mut self.classes[class];
         *earned += worth;
-        match how {
+        match outcome {
             CallOutcome::Stood => calls.stood += 1,
             CallOutcome::Late => calls.late += 1,
             CallOutcome::Refused => calls.refused += 1,
@@ -172,16 +175,16 @@
         }
     }
 
-    /// A call was lost. The first ones are named.
+    /// A call was lost. Only the first ones are kept.
     pub fn record_lost_call(&mut self, lost: impl FnOnce() -> LostCall) {
-        if self.lost.len() < LOST_NAMED {
+        if self.lost.len() < MAX_LISTED_LOST_CALLS {
             self.lost.push(lost());
         }
     }
 
-    /// A try was answered after this time.
-    pub fn record_set_up_time(&mut self, took: Nanos) {
-        self.set_ups.saturating_record(took / 1_000);
+    /// A dial was answered after this time.
+    pub fn record_set_up_time(&mut self, set_up_time: Nanos) {
+        self.set_up_times_us.saturating_record(set_up_time / 1_000);
     }
 
     /// A caller dials again.
@@ -194,51 +197,51 @@
         self.nodes[node].turned_away += 1;
     }
 
-    /// How a node is at this time.
+    /// Samples a node's wait, in seconds, and while it is cold the set-ups within the window and their budget.
     pub fn sample_node(&mut self, seconds: f64, node: usize, wait: f64, cold: Option<(f64, f64)>) {
-        let n = &mut self.nodes[node];
-        if let Some(at) = n.wait.get_mut(seconds as usize) {
-            *at = at.max((wait * 1000.0).round() / 1000.0);
+        let report = &mut self.nodes[node];
+        if let Some(longest) = report.wait.get_mut(seconds as usize) {
+            *longest = longest.max((wait * 1000.0).round() / 1000.0);
         }
-        if let Some((came, budget)) = cold {
-            n.cold.push((seconds, came, (budget * 100.0).round() / 100.0));
+        if let Some((arrived, budget)) = cold {
+            report.cold.push((seconds, arrived, (budget * 100.0).round() / 100.0));
         }
     }
 }
 
-/// What one rehearsal with one seed came to.
+/// The report of one run: a script played with one seed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunReport {
-    /// Its seed.
+    /// The seed.
     pub seed: u64,
     /// Share of the offered worth that was earned.
     pub service_worth: f64,
-    /// The same in the worst ten seconds.
+    /// The lowest such share within any ten seconds.
     pub worst_ten_seconds: f64,
-    /// By class.
+    /// Results by class.
     pub classes: BTreeMap<String, ClassReport>,
-    /// All calls.
+    /// Calls of all classes.
     pub calls: Calls,
-    /// How long set-ups took.
+    /// Set-up times.
     pub set_up_ms: SetUpTimes,
     /// How often each rule was broken.
     pub rules_broken: BTreeMap<String, u64>,
     /// The first breaches, in full.
     pub breaches: Vec<serde_json::Value>,
-    /// What came closest to a limit.
+    /// The longest delay against each time limit.
     #[serde(default)]
-    pub worst: Worst,
+    pub worst: WorstDelays,
     /// The first calls that were lost.
     pub lost: Vec<LostCall>,
-    /// Per second.
+    /// Worth by the second.
     pub windows: Vec<Window>,
-    /// Per node.
+    /// Load by node.
     pub nodes: Vec<NodeReport>,
-    /// Hash over everything that passed.
+    /// Hash over all messages of the run and their times.
     pub digest: String,
 }
 
-/// A report: one run, or several with consecutive seeds.
+/// The report of a rehearsal: one run, or several with consecutive seeds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the script.
@@ -247,9 +250,9 @@
     pub clock: String,
     /// Seconds in which calls were offered.
     pub seconds: f64,
-    /// Mean over the runs of the share of the offered worth that was earned.
+    /// Share of the offered worth that was earned, the mean over the runs.
     pub service_worth: f64,
-    /// By class: the mean share.
+    /// The same by class.
     pub classes: BTreeMap<String, f64>,
     /// Calls of all runs.
     pub calls: Calls,
@@ -259,9 +262,9 @@
     pub windows: Vec<Window>,
     /// Hash over the runs' digests.
     pub digest: String,
-    /// The incident.
+    /// Time spans of the incidents.
     pub bands: Vec<Band>,
-    /// The runs.
+    /// Reports of the runs.
     pub runs: Vec<RunReport>,
 }
 
@@ -273,63 +276,65 @@
     }
 }
 
-fn add(to: &mut Calls, calls: &Calls) {
-    to.offered += calls.offered;
-    to.stood += calls.stood;
-    to.late += calls.late;
-    to.refused += calls.refused;
-    to.failed += calls.failed;
-    to.cut += calls.cut;
-    to.redials += calls.redials;
+fn add_calls(sum: &mut Calls, calls: &Calls) {
+    sum.offered += calls.offered;
+    sum.stood += calls.stood;
+    sum.late += calls.late;
+    sum.refused += calls.refused;
+    sum.failed += calls.failed;
+    sum.cut += calls.cut;
+    sum.redials += calls.redials;
 }
 
 impl RunReport {
-    /// Makes the report of one run.
+    /// Makes the report of one run from its statistics and its audit.
     pub fn new(
         script: &Script,
         seed: u64,
-        books: &RunStatistics,
-        audit: &crate::audit::Auditor,
+        statistics: &RunStatistics,
+        auditor: &crate::audit::Auditor,
         digest: String,
     ) -> RunReport {
-        let named = script.classes.iter().zip(&books.classes).map(|(class, (calls, offered, earned))| {
-            (
-                class.name.clone(),
-                ClassReport { service_worth: share(*earned, *offered), calls: calls.clone() },
-            )
-        });
-        let mut calls = Calls { redials: books.redials, ..Calls::default() };
-        books.classes.iter().for_each(|(c, ..)| add(&mut calls, c));
-        let sum = |of: &[Window]| {
-            let earned: f64 = of.iter().map(|w| w.earned).sum();
-            share(earned, of.iter().map(|w| w.offered).sum())
+        let classes =
+            script.classes.iter().zip(&statistics.classes).map(|(class, (calls, offered, earned))| {
+                (
+                    class.name.clone(),
+                    ClassReport { service_worth: share(*earned, *offered), calls: calls.clone() },
+                )
+            });
+        let mut calls = Calls { redials: statistics.redials, ..Calls::default() };
+        statistics.classes.iter().for_each(|(c, ..)| add_calls(&mut calls, c));
+        let share_earned = |windows: &[Window]| {
+            let earned: f64 = windows.iter().map(|w| w.earned).sum();
+            share(earned, windows.iter().map(|w| w.offered).sum())
         };
-        let tens = books.windows.windows(10.min(books.windows.len())).map(sum);
-        let rules = audit.counts().into_iter().map(|(rule, n)| (rule.name(), n));
-        let breaches = audit.breaches().iter().filter_map(|b| serde_json::to_value(b).ok());
+        let ten_second_shares =
+            statistics.windows.windows(10.min(statistics.windows.len())).map(share_earned);
+        let rules = auditor.counts().into_iter().map(|(rule, n)| (rule.name(), n));
+        let breaches = auditor.breaches().iter().filter_map(|b| serde_json::to_value(b).ok());
         RunReport {
             seed,
-            service_worth: sum(&books.windows),
-            worst_ten_seconds: tens.fold(1.0, f64::min),
-            classes: named.collect(),
+            service_worth: share_earned(&statistics.windows),
+            worst_ten_seconds: ten_second_shares.fold(1.0, f64::min),
+            classes: classes.collect(),
             calls,
             set_up_ms: SetUpTimes {
-                median: books.set_ups.value_at_quantile(0.5) as f64 / 1e3,
-                p99: books.set_ups.value_at_quantile(0.99) as f64 / 1e3,
+                median: statistics.set_up_times_us.value_at_quantile(0.5) as f64 / 1e3,
+                p99: statistics.set_up_times_us.value_at_quantile(0.99) as f64 / 1e3,
             },
             rules_broken: rules.collect(),
             breaches: breaches.collect(),
-            worst: audit.worst(),
-            lost: books.lost.clone(),
-            windows: books.windows.clone(),
-            nodes: books.nodes.clone(),
+            worst: auditor.worst(),
+            lost: statistics.lost.clone(),
+            windows: statistics.windows.clone(),
+            nodes: statistics.nodes.clone(),
             digest,
         }
     }
 }
 
 impl Report {
-    /// Puts runs of one script together.
+    /// Combines the runs of one script.
     pub fn new(script: &Script, clock: &str, seconds: f64, runs: Vec<RunReport>) -> Report {
         let count = runs.len().max(1) as f64;
         let mut classes = BTreeMap::new();
@@ -337,7 +342,7 @@
         let mut windows = vec![Window::default(); runs.first().map_or(0, |r| r.windows.len())];
         let mut hash = blake3::Hasher::new();
         for run in &runs {
-            add(&mut calls, &run.calls);
+            add_calls(&mut calls, &run.calls);
             for (name, class) in &run.classes {
                 *classes.entry(name.clone()).or_insert(0.0) += class.service_worth / count;
             }
@@ -369,8 +374,8 @@
         }
     }
 
-    /// Whether a rule was broken.
-    pub fn broken(&self) -> bool {
+    /// Whether a rule was broken in any run.
+    pub fn has_breaches(&self) -> bool {
         self.rules_broken.values().any(|n| *n > 0)
     }
 }
--- a/rehearsal/src/soak/mod.rs
+++ b/rehearsal/src/soak/mod.rs
@@ -1,4 +1,5 @@
-//! A soak: short, dense runs of real processes on the wall's clock, each with a plan that is drawn from a seed.
+//! Soak tests: short runs of real processes on the wall clock, with many overlapping faults. Each run plays a script
+//! that is generated from a seed.
 
 pub mod plan;
 
@@ -10,89 +11,91 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::audit::{Rule, Worst};
+use crate::audit::{Rule, WorstDelays};
 use crate::report::RunReport;
 use crate::script::Script;
 use crate::wall_clock::{self, Lateness};
 
-/// What a soak is asked to play.
+/// Options of a soak.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    /// Seeds and their plans.
+pub struct SoakOptions {
+    /// Seeds, each with its script.
     pub plans: Vec<(u64, Script)>,
-    /// Runs that are played at once.
+    /// Number of runs that are played at the same time.
     pub jobs: usize,
-    /// The program.
+    /// The controller's executable.
     pub program: PathBuf,
-    /// Where the logs of the controllers go; those of runs that broke a rule are kept.
+    /// Folder for the controllers' logs. Those of runs without a breach are removed.
     pub logs: Option<PathBuf>,
 }
 
-/// What a soak came to.
+/// The results of a soak.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Soak {
-    /// Runs that were played.
+pub struct SoakReport {
+    /// Number of runs that were played.
     pub runs: usize,
-    /// Seeds of runs in which this machine fell behind; they are played, and not counted as passed.
+    /// Seeds of runs in which the driver fell behind real time; these runs are not judged.
     pub late: Vec<u64>,
-    /// Controllers that ended of their own accord.
+    /// Controllers whose process ended without being told to.
     pub crashes: u64,
-    /// How often each rule was broken, in runs that were not late.
+    /// How often each rule was broken, in the runs that were judged.
     pub rules_broken: BTreeMap<Rule, u64>,
-    /// What came closest to a limit, or went furthest past it.
-    pub worst: Worst,
-    /// Rules that were broken, each with its seed, time, call and the events of that call.
+    /// The longest delay against each time limit.
+    pub worst: WorstDelays,
+    /// The breaches, each with its seed, time, call and the messages of that call.
     pub breaches: Vec<Value>,
 }
 
-impl Soak {
-    /// Whether a rule was broken, or a run could not be judged.
-    pub fn failed(&self) -> bool {
+impl SoakReport {
+    /// Whether a rule was broken in a run that was judged.
+    pub fn has_breaches(&self) -> bool {
         self.rules_broken.values().any(|n| *n > 0)
     }
 }
 
-/// Plays all plans and judges them.
-pub fn play(asked: &Asked) -> Result<Soak, String> {
-    let next = AtomicUsize::new(0);
-    let done = Mutex::new(Vec::new());
+/// Plays all scripts and combines their results.
+pub fn play(options: &SoakOptions) -> Result<SoakReport, String> {
+    let next_plan = AtomicUsize::new(0);
+    let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..asked.jobs.clamp(1, asked.plans.len().max(1)) {
+        for _ in 0..options.jobs.clamp(1, options.plans.len().max(1)) {
             scope.spawn(|| {
-                while let Some((seed, script)) = asked.plans.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let played = play_one(asked, *seed, script);
-                    done.lock().expect("no holder panics").push((*seed, played));
+                while let Some((seed, script)) = options.plans.get(next_plan.fetch_add(1, Ordering::Relaxed))
+                {
+                    let played = play_one(options, *seed, script);
+                    results.lock().expect("no thread panics while it holds the lock").push((*seed, played));
                 }
             });
         }
     });
-    let mut done = done.into_inner().expect("no holder panics");
-    done.sort_by_key(|(seed, _)| *seed);
-    let mut soak = Soak { rules_broken: Rule::ALL.iter().map(|r| (*r, 0)).collect(), ..Soak::default() };
-    for (seed, played) in done {
+    let mut results = results.into_inner().expect("no thread panics while it holds the lock");
+    results.sort_by_key(|(seed, _)| *seed);
+    let mut report =
+        SoakReport { rules_broken: Rule::ALL.iter().map(|r| (*r, 0)).collect(), ..SoakReport::default() };
+    for (seed, played) in results {
         let (run, lateness) = played?;
-        soak.add(seed, &run, lateness);
+        report.add_run(seed, &run, lateness);
     }
-    Ok(soak)
+    Ok(report)
 }
 
-fn play_one(asked: &Asked, seed: u64, script: &Script) -> Result<(RunReport, Lateness), String> {
-    let logs = asked.logs.as_ref().map(|folder| folder.join(format!("seed-{seed}")));
-    let options = wall_clock::RunOptions { short: false, trace: None, logs: logs.clone() };
-    let played = wall_clock::rehearse_once(script, seed, &asked.program, &options)?;
-    let kept = played.run.rules_broken.values().all(|n| *n == 0);
-    if let Some(folder) = logs.filter(|_| kept) {
-        remove(&folder)?;
+fn play_one(options: &SoakOptions, seed: u64, script: &Script) -> Result<(RunReport, Lateness), String> {
+    let logs = options.logs.as_ref().map(|folder| folder.join(format!("seed-{seed}")));
+    let run_options = wall_clock::RunOptions { short: false, trace: None, logs: logs.clone() };
+    let played = wall_clock::rehearse_once(script, seed, &options.program, &run_options)?;
+    let no_breaches = played.run.rules_broken.values().all(|n| *n == 0);
+    if let Some(folder) = logs.filter(|_| no_breaches) {
+        remove_folder(&folder)?;
     }
     Ok((played.run, played.lateness))
 }
 
-fn remove(folder: &Path) -> Result<(), String> {
+fn remove_folder(folder: &Path) -> Result<(), String> {
     std::fs::remove_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))
 }
 
-impl Soak {
-    fn add(&mut self, seed: u64, run: &RunReport, lateness: Lateness) {
+impl SoakReport {
+    fn add_run(&mut self, seed: u64, run: &RunReport, lateness: Lateness) {
         self.runs += 1;
         if lateness.is_unreliable() {
             return self.late.push(seed);
--- a/rehearsal/tests/overlaps.rs
+++ b/rehearsal/tests/overlaps.rs
@@ -57,7 +57,7 @@
             text
         );
         let breach = report.runs[0].breaches.first();
-        prop_assert!(!report.broken(), "seed {}, {}: {:#?}", seed, text, breach);
+        prop_assert!(!report.has_breaches(), "seed {}, {}: {:#?}", seed, text, breach);
         Ok(())
     });
     played.unwrap_or_else(|e| panic!("{e}"));
--- a/rehearsal/tests/replay.rs
+++ b/rehearsal/tests/replay.rs
@@ -42,7 +42,7 @@
             scope.spawn(move || {
                 let report = rehearse(script, 1, 1, 1, true).unwrap();
                 let breaches = &report.runs[0].breaches;
-                assert!(!report.broken(), "{}: {:#?}", script.name, breaches.first());
+                assert!(!report.has_breaches(), "{}: {:#?}", script.name, breaches.first());
                 assert!(report.calls.offered > 100, "{}: {:?}", script.name, report.calls);
                 let c = &report.calls;
                 let ends = c.stood + c.late + c.refused + c.failed + c.cut;
