--- a/rehearsal/tests/overlaps.rs
+++ b/rehearsal/tests/overlaps.rs
@@ -1,5 +1,5 @@
-//! Events drawn at random, overlapping as they like: whatever happens, the rehearsal comes to its end, every call
-//! has one end, and the controllers keep the rules. The cases are the same on every run.
+//! Rehearsals with randomly generated, overlapping events: each one ends, every call has exactly one outcome, and no rule
+//! is broken. The cases are the same on every run; the environment variable OVERLAPS sets their number.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -27,15 +27,15 @@
         Just("kind: 'demand', for: FOR, times: 3"),
         Just("kind: 'ignore-advice', for: FOR"),
     ];
-    (kinds, 0..NODES, 1u32..60, 1u32..60).prop_map(|(kind, node, at, lasts)| {
-        let kind = kind.replace("FOR", &format!("{}", f64::from(lasts) / 10.0));
-        let node = if kind.contains("ignore") { String::new() } else { format!(", nodes: ['n{node}']") };
-        format!("{{ at: {}, {kind}{node} }}", f64::from(at) / 10.0)
+    (kinds, 0..NODES, 1u32..60, 1u32..60).prop_map(|(kind, node, at_tenths, duration_tenths)| {
+        let kind = kind.replace("FOR", &format!("{}", f64::from(duration_tenths) / 10.0));
+        let nodes_key = if kind.contains("ignore") { String::new() } else { format!(", nodes: ['n{node}']") };
+        format!("{{ at: {}, {kind}{nodes_key} }}", f64::from(at_tenths) / 10.0)
     })
 }
 
 #[test]
-fn overlapping_events_leave_every_call_one_end_and_break_no_rule() {
+fn overlapping_events_break_no_rule_and_give_each_call_one_outcome() {
     let cases = std::env::var("OVERLAPS").ok().and_then(|n| n.parse().ok()).unwrap_or(24);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = Config { cases, failure_persistence: None, max_shrink_iters: 200, ..Config::default() };
--- a/rehearsal/tests/scripts.rs
+++ b/rehearsal/tests/scripts.rs
@@ -1,18 +1,18 @@
-//! Scripts that cannot be played are refused, each with its place and its key.
+//! Invalid scripts are rejected with an error that names the position and the key.
 
 use std::path::Path;
 
 use rehearsal::script::{EventKind, Script};
 
-/// The error of a script with these lines after the first three.
-fn refused(lines: &str) -> String {
+/// The error of a script that has these lines from the fourth on.
+fn parse_error(lines: &str) -> String {
     let text = format!("{{\n  name: 'x',\n  seconds: 60,\n{lines}\n}}");
-    Script::parse("x.json5", &text).expect_err("it is refused").to_string()
+    Script::parse("x.json5", &text).expect_err("the script is invalid").to_string()
 }
 
 #[test]
-fn bad_scripts_are_refused_with_their_place_and_key() {
-    for (lines, place, what) in [
+fn rejects_invalid_scripts_with_position_and_key() {
+    for (lines, position, message) in [
         (
             "  events: [{ at: 5, for: 5, kind: 'hang', nodes: ['n1', 'n9'] }]",
             "x.json5:4:50: events[0].nodes: ",
@@ -74,16 +74,16 @@
         ("  classes: [{ name: 'a b', share: 1, worth: 1, hold: 3 }]", "classes[0].name: ", "letters, digits"),
         ("  load: 1,,", "x.json5:4:", "expected"),
     ] {
-        let error = refused(lines);
-        assert!(error.contains(place), "{lines}: {error} is not at {place}");
-        assert!(error.contains(what), "{lines}: {error} does not say {what}");
+        let error = parse_error(lines);
+        assert!(error.contains(position), "{lines}: {error} is not at {position}");
+        assert!(error.contains(message), "{lines}: {error} does not say {message}");
     }
     let missing = Script::load(Path::new("no/such.json5")).unwrap_err().to_string();
     assert!(missing.starts_with("no/such.json5: cannot be read"), "{missing}");
 }
 
 #[test]
-fn the_profile_joins_its_points_and_holds_before_and_after() {
+fn profile_interpolates_between_points_and_is_constant_outside() {
     let text = "{ name: 'x', seconds: 60, profile: [[10, 1], [20, 3]] }";
     let script = Script::parse("x", text).unwrap();
     assert_eq!([0.0, 10.0, 15.0, 20.0, 50.0].map(|t| script.profile_at(t)), [1.0, 1.0, 2.0, 3.0, 3.0]);
@@ -91,11 +91,11 @@
 }
 
 #[test]
-fn every_kind_is_named_in_scripts_as_it_reports_itself() {
-    let given = "for: 9, factor: 2, kept: 0.5, every: 2, length: 1, times: 2";
+fn event_kinds_are_reported_under_their_names_in_scripts() {
+    let values = "for: 9, factor: 2, kept: 0.5, every: 2, length: 1, times: 2";
     for kind in ["restart-cold", "hang", "pauses", "slow", "lose-circuits", "journal-silent", "demand"] {
-        let parts: Vec<&str> = given.split(", ").collect();
-        // The keys that this kind needs are found by adding what it asks for.
+        let pairs: Vec<&str> = values.split(", ").collect();
+        // Adds the keys that the error message asks for until the script is valid.
         let mut keys = String::new();
         let script = loop {
             let text = format!("{{ name: 'x', seconds: 60, events: [{{ at: 1, kind: '{kind}'{keys} }}] }}");
@@ -103,9 +103,12 @@
                 Ok(script) => break script,
                 Err(e) => {
                     let e = e.to_string();
-                    let key = e.split('`').nth(1).expect("a key is asked for").to_string();
-                    let part = parts.iter().find(|p| p.starts_with(&format!("{key}:"))).expect("known");
-                    keys.push_str(&format!(", {part}"));
+                    let key = e.split('`').nth(1).expect("the error names a key").to_string();
+                    let pair = pairs
+                        .iter()
+                        .find(|p| p.starts_with(&format!("{key}:")))
+                        .expect("a value for the key");
+                    keys.push_str(&format!(", {pair}"));
                 }
             }
         };
