--- a/ctl/src/dimension_plots.rs
+++ b/ctl/src/dimension_plots.rs
@@ -1,4 +1,4 @@
-//! Pictures of a plan: load by hour and kind of day, and loss against circuits.
+//! Plots of a plan: load by hour and kind of day, and loss against circuits.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,16 +9,17 @@
 use trunks::overflow::{self, Stream};
 use trunks::plan::{Aim, GroupPlan};
 
-/// Groups with a picture of their own: those with most load.
-const DRAWN: usize = 6;
-const SIZE: (u32, u32) = (1000, 400);
+/// Number of groups that are plotted: those with the highest load.
+const MAX_PLOTTED_GROUPS: usize = 6;
+/// Width and height of a plot, in pixels.
+const SIZE_PX: (u32, u32) = (1000, 400);
 
 type Error = Box<dyn std::error::Error>;
 
 const COLOURS: [RGBColor; 4] =
     [RGBColor(31, 119, 180), RGBColor(214, 39, 40), RGBColor(44, 160, 44), RGBColor(148, 103, 189)];
 
-/// Draws for the groups with most load; tells the files.
+/// Draws the plots of the groups with the highest load into a folder; returns the files.
 pub fn draw(
     folder: &Path,
     loads: &BTreeMap<Ends, Vec<GroupLoad>>,
@@ -27,36 +28,43 @@
     aim: &Aim,
 ) -> Result<Vec<PathBuf>, Error> {
     std::fs::create_dir_all(folder)?;
-    let mut heavy: Vec<&GroupPlan> = plans.iter().collect();
-    heavy.sort_by(|a, b| b.hour.load.mean.total_cmp(&a.hour.load.mean));
+    let mut by_load: Vec<&GroupPlan> = plans.iter().collect();
+    by_load.sort_by(|a, b| b.hour.load.mean.total_cmp(&a.hour.load.mean));
     let mut files = Vec::new();
-    for plan in heavy.into_iter().take(DRAWN) {
+    for plan in by_load.into_iter().take(MAX_PLOTTED_GROUPS) {
         let (a, b) = plan.ends;
-        let load = folder.join(format!("load-n{a}-n{b}.svg"));
-        by_hour(&load, plan, &loads[&plan.ends], calendar)?;
-        let loss = folder.join(format!("loss-n{a}-n{b}.svg"));
-        against_circuits(&loss, plan, aim)?;
-        files.extend([load, loss]);
+        let load_file = folder.join(format!("load-n{a}-n{b}.svg"));
+        draw_load_by_hour(&load_file, plan, &loads[&plan.ends], calendar)?;
+        let loss_file = folder.join(format!("loss-n{a}-n{b}.svg"));
+        draw_loss_by_circuits(&loss_file, plan, aim)?;
+        files.extend([load_file, loss_file]);
     }
     Ok(files)
 }
 
-fn by_hour(file: &Path, plan: &GroupPlan, loads: &[GroupLoad], calendar: &Calendar) -> Result<(), Error> {
+/// Draws a group's mean load by hour, one line for each kind of day.
+fn draw_load_by_hour(
+    file: &Path,
+    plan: &GroupPlan,
+    loads: &[GroupLoad],
+    calendar: &Calendar,
+) -> Result<(), Error> {
+    // By kind of day and minute: sum and number of the loads.
     let mut kinds: BTreeMap<&str, BTreeMap<u32, (f64, f64)>> = BTreeMap::new();
     for load in loads {
-        let at = calendar.local(load.from);
-        let kind = match at.weekday {
+        let local_time = calendar.local(load.from);
+        let kind = match local_time.weekday {
             6 => "Saturday",
             7 => "Sunday",
             _ => "Monday to Friday",
         };
-        let minute = at.hour as u32 * 60 + at.minute as u32;
+        let minute = local_time.hour as u32 * 60 + local_time.minute as u32;
         let sum = kinds.entry(kind).or_default().entry(minute).or_default();
         *sum = (sum.0 + load.circuits_offered().mean, sum.1 + 1.0);
     }
     let means = kinds.values().flat_map(|k| k.values().map(|(s, n)| s / n));
-    let most = means.fold(f64::from(plan.present), f64::max).max(1.0) * 1.15;
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let max = means.fold(f64::from(plan.present), f64::max).max(1.0) * 1.15;
+    let area = SVGBackend::new(file, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let title = format!("n{}-n{}: offered load by hour and kind of day", plan.ends.0, plan.ends.1);
     let mut chart = ChartBuilder::on(&area)
@@ -64,7 +72,7 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(52)
-        .build_cartesian_2d(0.0..24.0, 0.0..most)?;
+        .build_cartesian_2d(0.0..24.0, 0.0..max)?;
     chart.configure_mesh().light_line_style(WHITE).x_desc("hour").y_desc("erlang").x_labels(13).draw()?;
     for ((kind, minutes), colour) in kinds.iter().zip(COLOURS) {
         let points = minutes.iter().map(|(m, (s, n))| (f64::from(*m) / 60.0, s / n));
@@ -88,12 +96,13 @@
     Ok(())
 }
 
-fn against_circuits(file: &Path, plan: &GroupPlan, aim: &Aim) -> Result<(), Error> {
+/// Draws a group's loss in the busy hour against its number of circuits, for the load and the ends of its interval.
+fn draw_loss_by_circuits(file: &Path, plan: &GroupPlan, aim: &Aim) -> Result<(), Error> {
     let load = plan.hour.load;
     let high = if load.high.is_finite() { load.high } else { 2.0 * load.mean };
     let from = (load.low * 0.9).floor().max(0.0);
     let to = f64::from(plan.needed.max(plan.present)) * 1.15 + 5.0;
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let area = SVGBackend::new(file, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let title = format!("n{}-n{}: loss against circuits in the busy hour", plan.ends.0, plan.ends.1);
     let mut chart = ChartBuilder::on(&area)
@@ -120,8 +129,8 @@
     for (name, at) in [("present", plan.present), ("needed", plan.needed)] {
         let at = f64::from(at);
         chart.draw_series(DashedLineSeries::new([(at, 1e-6), (at, 1.0)], 6, 4, BLACK.stroke_width(1)))?;
-        let place = (at, if name == "present" { 0.6 } else { 0.3 });
-        chart.draw_series([Text::new(format!(" {name}"), place, ("sans-serif", 13))])?;
+        let position = (at, if name == "present" { 0.6 } else { 0.3 });
+        chart.draw_series([Text::new(format!(" {name}"), position, ("sans-serif", 13))])?;
     }
     chart.draw_series([PathElement::new([(from, aim.loss), (to, aim.loss)], BLACK.mix(0.4))])?;
     let labels = &mut chart.configure_series_labels();
--- a/ctl/src/main.rs
+++ b/ctl/src/main.rs
@@ -16,9 +16,10 @@
 use rehearsal::script::Script;
 use rehearsal::{compare, plots, virtual_clock, wall_clock};
 
-/// Exit codes: a rule was broken, or the input is not to be used.
-const RULE_BROKEN: u8 = 1;
-const BAD_INPUT: u8 = 2;
+/// Exit code: a rule was broken.
+const RULE_BROKEN_EXIT_CODE: u8 = 1;
+/// Exit code: the input cannot be used.
+const BAD_INPUT_EXIT_CODE: u8 = 2;
 
 #[derive(Parser)]
 #[command(name = "dillholdctl", version, about = "The operators' command line for dillhold")]
@@ -29,7 +30,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Clock {
-    /// Whole controllers in this process; the same every time.
+    /// Whole controllers in this process, reproducible from the seed.
     Virtual,
     /// Real `dillhold` processes on loopback sockets, in real time.
     Wall,
@@ -37,64 +38,64 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play an incident that is written down against whole controllers, and report what it came to.
+    /// Play a scripted incident against whole controllers and report the results.
     ///
     /// Exits with 0 if no rule was broken, with 1 if one was, and with 2 if the script cannot be played.
     Rehearse {
-        /// The script (JSON5); docs/rehearsal.md tells how to write one.
+        /// The script (JSON5); docs/rehearsal.md describes the format.
         file: PathBuf,
-        /// The clock it is played on.
+        /// The clock that the script is played on.
         #[arg(long, value_enum, default_value = "virtual")]
         clock: Clock,
-        /// Seed of everything that is drawn.
+        /// Seed of all random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Runs with consecutive seeds, to know the noise of the seeds.
+        /// Number of runs with consecutive seeds, to estimate the noise between seeds.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=1000))]
         runs: u32,
-        /// Threads for several runs on the virtual clock; the report is the same whatever their number.
+        /// Number of threads for runs on the virtual clock; the report does not depend on it.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=256))]
         threads: u32,
-        /// Play the script's short form.
+        /// Play the short form of the script.
         #[arg(long)]
         short: bool,
-        /// Write the report here.
+        /// Write the report to this file, as JSON.
         #[arg(long, value_name = "OUT")]
         json: Option<PathBuf>,
-        /// Draw the pictures (SVG) into this folder.
+        /// Draw the plots (SVG) into this folder.
         #[arg(long, value_name = "DIR")]
         plots: Option<PathBuf>,
-        /// Print all messages of this call (16 hex digits, as breaches name it).
-        #[arg(long, value_name = "CALL", value_parser = call_id)]
+        /// Print all messages of this call (16 hex digits, as in the report of a breach).
+        #[arg(long, value_name = "CALL", value_parser = parse_call_id)]
         trace: Option<u64>,
-        /// Write what the controllers measured of their groups here, in intervals of a minute, for `dimension`
-        /// (virtual clock, one run, in full).
+        /// Write the loads that the controllers measured on their groups into this folder, in intervals of one minute,
+        /// for `dimension` (virtual clock, one run, full form).
         #[arg(long, value_name = "DIR", conflicts_with_all = ["trace", "short"])]
         measure: Option<PathBuf>,
-        /// The program that `--clock wall` starts.
+        /// The controller's executable, for `--clock wall`.
         #[arg(long, value_name = "PROGRAM", default_value = "target/release/dillhold")]
         program: PathBuf,
     },
-    /// Reckon the circuits that trunk groups need, from what controllers measured.
+    /// Calculate the circuits that trunk groups need from the loads that controllers measured.
     ///
-    /// Exits with 0, with 2 if nothing can be reckoned, and with 3 if files were skipped and the rest was used.
+    /// Exits with 0, with 2 if nothing can be calculated, and with 3 if files were skipped and the others were used.
     Dimension(dimension::Dimension),
-    /// Erlang's loss formula: circuits for a loss, or the loss on circuits, bare on the last line.
+    /// Erlang's loss formula: circuits for a loss, or the loss on circuits. The last line is the plain number.
     Erlang(erlang::Erlang),
-    /// Play short, dense runs of real processes, with faults drawn from seeds, and judge every rule.
+    /// Play short runs of real processes with many random faults, generated from seeds, and check every rule.
     ///
     /// Exits with 0 if no rule was broken, with 1 if one was, and with 2 if nothing can be played.
     Soak(soak::Soak),
-    /// Put two reports side by side: two builds, or two settings.
+    /// Compare two reports, of two builds or two settings.
     Compare {
-        /// The first report, as `rehearse --json` wrote it.
+        /// The first report, as written by `rehearse --json`.
         a: PathBuf,
-        /// The second.
+        /// The second report.
         b: PathBuf,
     },
 }
 
-fn call_id(text: &str) -> Result<u64, String> {
+fn parse_call_id(text: &str) -> Result<u64, String> {
     let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     let id = u64::from_str_radix(text, 16).ok().filter(|_| digits);
     id.ok_or_else(|| "16 hex digits are needed".into())
@@ -102,17 +103,17 @@
 
 fn read_report(path: &Path) -> Result<Report, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    serde_json::from_str(&text).map_err(|e| format!("{}: no report of a rehearsal: {e}", path.display()))
+    serde_json::from_str(&text).map_err(|e| format!("{}: not a report of a rehearsal: {e}", path.display()))
 }
 
-fn write_json(path: &Path, what: &impl serde::Serialize) -> Result<(), String> {
-    let mut text = serde_json::to_string_pretty(what).map_err(|e| e.to_string())?;
+fn write_json(path: &Path, value: &impl serde::Serialize) -> Result<(), String> {
+    let mut text = serde_json::to_string_pretty(value).map_err(|e| e.to_string())?;
     text.push('\n');
     std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn print(report: &Report) {
-    let c = &report.calls;
+fn print_report(report: &Report) {
+    let calls = &report.calls;
     println!(
         "{} ({} clock, {} s, {} run(s))",
         report.script,
@@ -126,13 +127,13 @@
     }
     println!(
         "calls           {} offered: {} stood, {} late, {} refused, {} failed, {} cut; {} redials",
-        c.offered, c.stood, c.late, c.refused, c.failed, c.cut, c.redials
+        calls.offered, calls.stood, calls.late, calls.refused, calls.failed, calls.cut, calls.redials
     );
     for run in report.runs.iter().take(1) {
-        let t = run.set_up_ms;
+        let times = run.set_up_ms;
         println!(
-            "set-up times    {:.1} ms the median, {:.1} ms the 99th of a hundred (seed {})",
-            t.median, t.p99, run.seed
+            "set-up times    {:.1} ms median, {:.1} ms 99th percentile (seed {})",
+            times.median, times.p99, run.seed
         );
     }
     for (rule, broken) in report.rules_broken.iter().filter(|(_, n)| **n > 0) {
@@ -152,9 +153,9 @@
         }
     }
     if let (Some(lost), false) = (report.runs.first().and_then(|r| r.lost.first()), report.has_breaches()) {
-        let (class, at, how) = (&lost.class, lost.at, &lost.how);
+        let (class, at, outcome) = (&lost.class, lost.at, &lost.how);
         println!(
-            "first lost      {} at {}: {class} of {at} s, {how} (see --trace)",
+            "first lost      {} at {}: {class}, offered at {at} s, {outcome} (see --trace)",
             lost.call, lost.controller
         );
     }
@@ -178,7 +179,7 @@
         } => {
             let script = Script::load(&file).map_err(|e| e.to_string())?;
             if trace.is_some() && runs > 1 {
-                return Err("--trace follows a call of one run: leave --runs out".into());
+                return Err("--trace prints a call of a single run: leave out --runs".into());
             }
             let seconds = rehearsal::offering_seconds(&script, short);
             if measure.is_some() && (runs > 1 || clock == Clock::Wall) {
@@ -187,15 +188,16 @@
             let report = match (clock, trace) {
                 (Clock::Virtual, None) if measure.is_some() => {
                     let calendar = Calendar::new("UTC", 1).map_err(|e| e.to_string())?;
-                    let found = rehearsal::rehearse_measured(&script, seed, &calendar)?;
+                    let measured = rehearsal::rehearse_measured(&script, seed, &calendar)?;
                     let folder = measure.unwrap_or_default();
-                    let said = |e: std::io::Error| format!("{}: {e}", folder.display());
-                    std::fs::create_dir_all(&folder).map_err(said)?;
-                    for interval in &found.intervals {
-                        std::fs::write(folder.join(interval.file_name()), encode(interval)).map_err(said)?;
+                    let write_error = |e: std::io::Error| format!("{}: {e}", folder.display());
+                    std::fs::create_dir_all(&folder).map_err(write_error)?;
+                    for interval in &measured.intervals {
+                        std::fs::write(folder.join(interval.file_name()), encode(interval))
+                            .map_err(write_error)?;
                     }
-                    println!("{} intervals written to {}", found.intervals.len(), folder.display());
-                    Report::new(&script, "virtual", seconds, vec![found.run])
+                    println!("{} intervals written to {}", measured.intervals.len(), folder.display());
+                    Report::new(&script, "virtual", seconds, vec![measured.run])
                 }
                 (Clock::Virtual, None) => {
                     rehearsal::rehearse(&script, seed, runs as usize, threads as usize, short)?
@@ -211,30 +213,30 @@
                         let options = wall_clock::RunOptions { short, trace, logs: None };
                         let played = wall_clock::rehearse_once(&script, seed + run, &program, &options)?;
                         played.trace.iter().for_each(|line| println!("{line}"));
-                        let late = played.lateness;
-                        if late.is_unreliable() {
-                            eprintln!("dillholdctl: this machine was too busy: {late:?}");
+                        let lateness = played.lateness;
+                        if lateness.is_unreliable() {
+                            eprintln!("dillholdctl: this machine was too busy to keep up with real time: {lateness:?}");
                         }
                         Ok(played.run)
                     });
                     Report::new(&script, "wall", seconds, played.collect::<Result<_, String>>()?)
                 }
             };
-            print(&report);
+            print_report(&report);
             if let Some(path) = json {
                 write_json(&path, &report)?;
             }
             if let Some(folder) = plots {
                 let files = plots::draw(&report, &folder);
                 for file in files.map_err(|e| format!("{}: {e}", folder.display()))? {
-                    println!("drawn           {}", file.display());
+                    println!("plot            {}", file.display());
                 }
             }
-            Ok(if report.has_breaches() { ExitCode::from(RULE_BROKEN) } else { ExitCode::SUCCESS })
+            Ok(if report.has_breaches() { ExitCode::from(RULE_BROKEN_EXIT_CODE) } else { ExitCode::SUCCESS })
         }
-        Command::Dimension(asked) => dimension::run(&asked),
-        Command::Erlang(asked) => erlang::run(&asked),
-        Command::Soak(asked) => soak::run(&asked),
+        Command::Dimension(arguments) => dimension::run(&arguments),
+        Command::Erlang(arguments) => erlang::run(&arguments),
+        Command::Soak(arguments) => soak::run(&arguments),
         Command::Compare { a, b } => {
             println!("{}", compare::compare(&read_report(&a)?, &read_report(&b)?)?);
             Ok(ExitCode::SUCCESS)
@@ -243,8 +245,8 @@
 }
 
 fn main() -> ExitCode {
-    run(Cli::parse().command).unwrap_or_else(|text| {
-        eprintln!("dillholdctl: {text}");
-        ExitCode::from(BAD_INPUT)
+    run(Cli::parse().command).unwrap_or_else(|error| {
+        eprintln!("dillholdctl: {error}");
+        ExitCode::from(BAD_INPUT_EXIT_CODE)
     })
 }
