--- a/rehearsal/src/audit.rs
+++ b/rehearsal/src/audit.rs
@@ -198,7 +198,8 @@
 }
 
 impl Observation<'_> {
-    fn call_key(&self) -> Option<(usize, u64)> {
+    /// The call that a message belongs to.
+    fn call_key(&self) -> Option<CallKey> {
         match *self {
             Observation::SetUpFromCaller { controller, id, .. }
             | Observation::CallerGaveUp { controller, id }
@@ -211,7 +212,7 @@
             | Observation::ByeFromController { controller, id }
             | Observation::ResponseFromNode { controller, id, .. }
             | Observation::ByeFromNode { controller, id, .. }
-            | Observation::CallEndedAtNode { controller, id } => Some((controller, id)),
+            | Observation::CallEndedAtNode { controller, id } => Some(CallKey { controller, id }),
             _ => None,
         }
     }
@@ -270,6 +271,13 @@
     pub messages: Vec<String>,
 }
 
+/// Identifies a call, or a leg in transit, at one controller.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct CallKey {
+    controller: usize,
+    id: u64,
+}
+
 /// What the auditor knows of one call at one controller.
 #[derive(Debug, Default)]
 struct CallRecord {
@@ -310,10 +318,9 @@
     max_attempts: u32,
     /// The time of the first observation.
     started_at: Option<Nanos>,
-    /// By controller and call id.
-    records: HashMap<(usize, u64), CallRecord>,
-    /// When each record is to be checked: time, controller and call id.
-    deadlines: BTreeSet<(Nanos, usize, u64)>,
+    records: HashMap<CallKey, CallRecord>,
+    /// When each record is to be checked.
+    deadlines: BTreeSet<(Nanos, CallKey)>,
     /// By controller and machine: since when the controller counts as told not to send set-ups there.
     closed_since: HashMap<(usize, usize), Nanos>,
     /// When each machine last started.
@@ -375,20 +382,14 @@
         now.saturating_sub(self.started_at.unwrap_or(now)) as f64 * 1e-9
     }
 
-    fn record_breach(
-        &mut self,
-        now: Nanos,
-        rule: Rule,
-        (controller, id): (usize, Option<u64>),
-        what: String,
-    ) {
+    fn record_breach(&mut self, now: Nanos, rule: Rule, controller: usize, call: Option<u64>, what: String) {
         *self.breach_counts.entry(rule).or_insert(0) += 1;
         if self.breaches.len() < MAX_REPORTED_BREACHES {
-            let record = id.and_then(|id| self.records.get(&(controller, id)));
+            let record = call.and_then(|id| self.records.get(&CallKey { controller, id }));
             self.breaches.push(Breach {
                 rule,
                 controller: format!("n{controller}"),
-                call: id.map(|id| format!("{id:016x}")),
+                call: call.map(|id| format!("{id:016x}")),
                 at: self.seconds_since_start(now),
                 what,
                 messages: record.map(|r| r.messages.clone()).unwrap_or_default(),
@@ -398,7 +399,7 @@
 
     /// A controller wrote bytes that cannot be parsed.
     pub fn malformed_output(&mut self, now: Nanos, controller: usize) {
-        self.record_breach(now, Rule::Readable, (controller, None), "output that cannot be parsed".into());
+        self.record_breach(now, Rule::Readable, controller, None, "output that cannot be parsed".into());
     }
 
     /// A machine has started. Controllers that were told of an earlier start do not know of this one yet.
@@ -416,30 +417,30 @@
                 "n{node} crashed while cold: {} set-ups, {informed} from controllers told of its start",
                 from.len()
             );
-            self.record_breach(now, Rule::ColdBudget, (from.last().copied().unwrap_or(node), None), what);
+            self.record_breach(now, Rule::ColdBudget, from.last().copied().unwrap_or(node), None, what);
         }
     }
 
     /// Advances the time: a message that was due and has not come is a breach.
     pub fn advance(&mut self, now: Nanos) {
-        while let Some(&(at, controller, id)) = self.deadlines.first().filter(|d| d.0 < now) {
-            self.deadlines.remove(&(at, controller, id));
-            let Some(record) = self.records.get_mut(&(controller, id)) else { continue };
+        while let Some(&(at, key)) = self.deadlines.first().filter(|d| d.0 < now) {
+            self.deadlines.remove(&(at, key));
+            let Some(record) = self.records.get_mut(&key) else { continue };
             if record.release_by.is_some_and(|by| by <= at) {
                 record.release_by = None;
                 let what = "the call ended, and its caller was not told in time".into();
-                self.record_breach(at, Rule::ReleasePassed, (controller, Some(id)), what);
+                self.record_breach(at, Rule::ReleasePassed, key.controller, Some(key.id), what);
             } else if !record.answered && !record.given_up && record.deadline + ANSWER_GRACE <= at {
                 record.given_up = true;
                 let what = "no final answer before the caller gave up".into();
-                self.record_breach(at, Rule::AnswerInTime, (controller, Some(id)), what);
+                self.record_breach(at, Rule::AnswerInTime, key.controller, Some(key.id), what);
             }
-            let record = &self.records[&(controller, id)];
+            let record = &self.records[&key];
             if record.released || record.given_up || record.answered && !record.stands {
                 if at > record.deadline + ENDED_CALL_RETENTION {
-                    self.records.remove(&(controller, id));
+                    self.records.remove(&key);
                 } else {
-                    self.deadlines.insert((at + ENDED_CALL_RETENTION, controller, id));
+                    self.deadlines.insert((at + ENDED_CALL_RETENTION, key));
                 }
             }
         }
@@ -460,8 +461,8 @@
             format!(
                 "{:9.4} n{} {:016x} {}",
                 self.seconds_since_start(now),
-                key.0,
-                key.1,
+                key.controller,
+                key.id,
                 observation.describe()
             )
         };
@@ -471,7 +472,7 @@
                 self.traced_calls.insert(id);
             }
         }
-        if self.traced_calls.contains(&key.1) {
+        if self.traced_calls.contains(&key.id) {
             self.trace_lines.push(line.clone());
         }
         if let Some(record) = self.records.get_mut(&key) {
@@ -486,18 +487,13 @@
         self.observe_call(now, key, observation);
     }
 
-    fn observe_unknown_call(
-        &mut self,
-        now: Nanos,
-        (controller, id): (usize, u64),
-        observation: Observation<'_>,
-    ) {
+    fn observe_unknown_call(&mut self, now: Nanos, key: CallKey, observation: Observation<'_>) {
         let what = match observation {
             Observation::InviteToNode { .. } => "a set-up that no caller sent",
             Observation::AnswerToCaller { .. } => "an answer to a call that no caller made",
             _ => return,
         };
-        self.record_breach(now, Rule::Unchanged, (controller, Some(id)), what.into());
+        self.record_breach(now, Rule::Unchanged, key.controller, Some(key.id), what.into());
     }
 
     fn observe_controller_or_journal(&mut self, now: Nanos, observation: Observation<'_>) {
@@ -510,7 +506,8 @@
                 self.record_breach(
                     now,
                     Rule::RunsOn,
-                    (controller, None),
+                    controller,
+                    None,
                     format!("the process ended unasked: {exit_status}"),
                 );
             }
@@ -518,18 +515,19 @@
                 self.record_breach(
                     now,
                     Rule::ReadyInTime,
-                    (controller, None),
+                    controller,
+                    None,
                     "not ready in time after its start".into(),
                 );
             }
             Observation::ControllerOverLimit { controller, memory_mb, descriptors } => {
                 let what =
                     format!("uses {memory_mb} MB and {descriptors} file descriptors, more than allowed");
-                self.record_breach(now, Rule::WithinLimits, (controller, None), what);
+                self.record_breach(now, Rule::WithinLimits, controller, None, what);
             }
             Observation::BadCallerIgnored { controller } => {
                 let what = "a misbehaving caller was neither answered nor disconnected".into();
-                self.record_breach(now, Rule::BadCallerTold, (controller, None), what);
+                self.record_breach(now, Rule::BadCallerTold, controller, None, what);
             }
             Observation::JournalUpdateAvailable { controller, machine, state, after_outage }
                 if state != "SERVING" =>
@@ -558,15 +556,16 @@
     fn controller_killed(&mut self, now: Nanos, controller: usize, terminated_at: Option<Nanos>) {
         let late =
             |r: &CallRecord| terminated_at.is_some_and(|at| r.set_up_at > at + LATE_SET_UP_AFTER_SIGTERM);
-        let open = self.records.iter().filter(|((c, _), r)| *c == controller && !r.answered && !r.given_up);
-        let mut lost: Vec<u64> = open.filter(|(_, r)| late(r)).map(|((_, id), _)| *id).collect();
+        let open =
+            self.records.iter().filter(|(key, r)| key.controller == controller && !r.answered && !r.given_up);
+        let mut lost: Vec<u64> = open.filter(|(_, r)| late(r)).map(|(key, _)| key.id).collect();
         lost.sort_unstable();
         for id in lost {
             let what = "set-up arrived late after SIGTERM and was not answered before SIGKILL".into();
-            self.record_breach(now, Rule::OneFinalAnswer, (controller, Some(id)), what);
+            self.record_breach(now, Rule::OneFinalAnswer, controller, Some(id), what);
         }
-        for ((c, _), record) in &mut self.records {
-            if *c == controller {
+        for (key, record) in &mut self.records {
+            if key.controller == controller {
                 record.given_up |= !record.answered;
             }
         }
@@ -575,8 +574,8 @@
 
     /// A controller's process is gone: its successor knows neither its calls nor the updates that it was sent.
     fn orphan_calls(&mut self, controller: usize) {
-        for ((c, _), record) in &mut self.records {
-            if *c == controller {
+        for (key, record) in &mut self.records {
+            if key.controller == controller {
                 record.orphaned = true;
                 record.release_by = None;
             }
@@ -585,8 +584,7 @@
         self.knows_start.retain(|(c, _)| *c != controller);
     }
 
-    fn observe_call(&mut self, now: Nanos, key: (usize, u64), observation: Observation<'_>) {
-        let subject = (key.0, Some(key.1));
+    fn observe_call(&mut self, now: Nanos, key: CallKey, observation: Observation<'_>) {
         match observation {
             Observation::SetUpFromCaller {
                 class,
@@ -609,14 +607,14 @@
                     messages: vec![format!(
                         "{:9.4} n{} {:016x} {}",
                         self.seconds_since_start(now),
-                        key.0,
-                        key.1,
+                        key.controller,
+                        key.id,
                         observation.describe()
                     )],
                     ..CallRecord::default()
                 };
                 self.records.insert(key, record);
-                self.deadlines.insert((deadline + ANSWER_GRACE, key.0, key.1));
+                self.deadlines.insert((deadline + ANSWER_GRACE, key));
                 return;
             }
             Observation::InviteToNode { node, machine, class, number, description, .. } => {
@@ -698,25 +696,25 @@
                 if record.stands && !record.released && (has_bye || !record.orphaned) {
                     let by = record.release_by.map_or(by, |known| known.min(by));
                     record.release_by = Some(by);
-                    self.deadlines.insert((by, key.0, key.1));
+                    self.deadlines.insert((by, key));
                 }
             }
             _ => {}
         }
         if let Some((rule, what)) = broken {
-            self.record_breach(now, rule, subject, what.into());
+            self.record_breach(now, rule, key.controller, Some(key.id), what.into());
         }
     }
 
     fn observe_invite(
         &mut self,
         now: Nanos,
-        key: (usize, u64),
+        key: CallKey,
         (node, machine): (usize, usize),
         (class, number, description): (&str, &str, &[u8]),
     ) {
-        let (max_attempts, subject) = (self.max_attempts, (key.0, Some(key.1)));
-        let closed = self.closed_since.get(&(key.0, machine)).copied();
+        let max_attempts = self.max_attempts;
+        let closed = self.closed_since.get(&(key.controller, machine)).copied();
         let Some(record) = self.records.get_mut(&key) else { return };
         let mut broken = Vec::new();
         if (record.class.as_str(), record.number.as_str(), &record.description[..])
@@ -740,7 +738,7 @@
         if record.retry_wait_from.is_some_and(|from| now < from + RELEASE_WAIT) {
             broken.push((Rule::ReleaseWaited, "sent again before the wait after an unclean end was over"));
         }
-        if node == key.0 || record.in_transit && node != record.destination {
+        if node == key.controller || record.in_transit && node != record.destination {
             broken.push((
                 Rule::Transit,
                 "sent to its own exchange, or in transit to a node that is not its destination",
@@ -757,7 +755,7 @@
         }
         record.attempt_out = true;
         for (rule, what) in broken {
-            self.record_breach(now, rule, subject, what.into());
+            self.record_breach(now, rule, key.controller, Some(key.id), what.into());
         }
     }
 }
--- a/rehearsal/src/report.rs
+++ b/rehearsal/src/report.rs
@@ -112,11 +112,19 @@
 /// Lost calls that a report lists in full.
 const MAX_LISTED_LOST_CALLS: usize = 200;
 
+/// The calls of one class and their worth.
+#[derive(Clone, Default)]
+struct ClassStatistics {
+    calls: Calls,
+    worth_offered: f64,
+    worth_earned: f64,
+}
+
 /// Counts and samples that the simulated world collects during a run.
 pub struct RunStatistics {
     windows: Vec<Window>,
-    /// By class: counts of calls, worth offered, worth earned.
-    classes: Vec<(Calls, f64, f64)>,
+    /// By class.
+    classes: Vec<ClassStatistics>,
     /// By class: the worth of one call.
     class_worth: Vec<f64>,
     nodes: Vec<NodeReport>,
@@ -136,7 +144,7 @@
         let node = |name| NodeReport { name, wait: vec![0.0; seconds], ..NodeReport::default() };
         RunStatistics {
             windows: vec![Window::default(); seconds],
-            classes: vec![Default::default(); script.classes.len()],
+            classes: vec![ClassStatistics::default(); script.classes.len()],
             class_worth: script.classes.iter().map(|c| c.worth.0).collect(),
             nodes: script.node_names().map(node).collect(),
             redials: 0,
@@ -156,16 +164,17 @@
     pub fn record_offered(&mut self, class: usize, seconds: f64) {
         let worth = self.class_worth[class];
         self.window(seconds).offered += worth;
-        let (calls, offered, _) = &mut self.classes[class];
-        calls.offered += 1;
-        *offered += worth;
+        let class = &mut self.classes[class];
+        class.calls.offered += 1;
+        class.worth_offered += worth;
     }
 
     /// A call that was first offered at this time has its outcome.
     pub fn record_outcome(&mut self, class: usize, seconds: f64, outcome: CallOutcome, worth: f64) {
         self.window(seconds).earned += worth;
-        let (calls, _, earned) = &mut self.classes[class];
-        *earned += worth;
+        let class = &mut self.classes[class];
+        class.worth_earned += worth;
+        let calls = &mut class.calls;
         match outcome {
             CallOutcome::Stood => calls.stood += 1,
             CallOutcome::Late => calls.late += 1,
@@ -295,15 +304,17 @@
         auditor: &crate::audit::Auditor,
         digest: String,
     ) -> RunReport {
-        let classes =
-            script.classes.iter().zip(&statistics.classes).map(|(class, (calls, offered, earned))| {
-                (
-                    class.name.clone(),
-                    ClassReport { service_worth: share(*earned, *offered), calls: calls.clone() },
-                )
-            });
+        let classes = script.classes.iter().zip(&statistics.classes).map(|(class, statistics)| {
+            (
+                class.name.clone(),
+                ClassReport {
+                    service_worth: share(statistics.worth_earned, statistics.worth_offered),
+                    calls: statistics.calls.clone(),
+                },
+            )
+        });
         let mut calls = Calls { redials: statistics.redials, ..Calls::default() };
-        statistics.classes.iter().for_each(|(c, ..)| add_calls(&mut calls, c));
+        statistics.classes.iter().for_each(|c| add_calls(&mut calls, &c.calls));
         let share_earned = |windows: &[Window]| {
             let earned: f64 = windows.iter().map(|w| w.earned).sum();
             share(earned, windows.iter().map(|w| w.offered).sum())
