--- a/ctl/src/dimension_plots.rs
+++ b/ctl/src/dimension_plots.rs
@@ -13,6 +13,10 @@
 const MAX_PLOTTED_GROUPS: usize = 6;
 /// Width and height of a plot, in pixels.
 const SIZE_PX: (u32, u32) = (1000, 400);
+/// The lowest loss that is plotted, on a logarithmic axis.
+const MIN_PLOTTED_LOSS: f64 = 1e-6;
+/// Number of steps of a curve.
+const CURVE_STEPS: u32 = 120;
 
 type Error = Box<dyn std::error::Error>;
 
@@ -110,17 +114,17 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(62)
-        .build_cartesian_2d(from..to, (1e-6f64..1.0).log_scale())?;
+        .build_cartesian_2d(from..to, (MIN_PLOTTED_LOSS..1.0).log_scale())?;
     chart.configure_mesh().light_line_style(WHITE).x_desc("circuits").y_desc("loss").draw()?;
     for ((name, mean), colour) in
         [("load", load.mean), ("lower end of its interval", load.low), ("upper end", high)]
             .into_iter()
             .zip(COLOURS)
     {
-        let steps = (0..=120).map(|i| from + (to - from) * f64::from(i) / 120.0);
+        let steps = (0..=CURVE_STEPS).map(|i| from + (to - from) * f64::from(i) / f64::from(CURVE_STEPS));
         let points: Result<Vec<(f64, f64)>, trunks::BadFigure> =
             steps.map(|n| Ok((n, overflow::loss(Stream::peaked(mean, aim.peakedness), n)?))).collect();
-        let points = points?.into_iter().filter(|(_, b)| *b >= 1e-6);
+        let points = points?.into_iter().filter(|(_, b)| *b >= MIN_PLOTTED_LOSS);
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
             .label(format!("{name}: {mean:.1} E"))
@@ -128,7 +132,12 @@
     }
     for (name, at) in [("present", plan.present), ("needed", plan.needed)] {
         let at = f64::from(at);
-        chart.draw_series(DashedLineSeries::new([(at, 1e-6), (at, 1.0)], 6, 4, BLACK.stroke_width(1)))?;
+        chart.draw_series(DashedLineSeries::new(
+            [(at, MIN_PLOTTED_LOSS), (at, 1.0)],
+            6,
+            4,
+            BLACK.stroke_width(1),
+        ))?;
         let position = (at, if name == "present" { 0.6 } else { 0.3 });
         chart.draw_series([Text::new(format!(" {name}"), position, ("sans-serif", 13))])?;
     }
--- a/rehearsal/src/plots.rs
+++ b/rehearsal/src/plots.rs
@@ -12,6 +12,12 @@
 const SIZE_PX: (u32, u32) = (1100, 420);
 /// Up to this number of nodes each has a line of its own; with more, the wait is drawn as its median and maximum.
 const MAX_LINES: usize = 12;
+/// Rows for the labels of incidents, above the data; with more incidents the rows are used again.
+const MAX_LABEL_ROWS: usize = 8;
+/// Height of a row of labels, as a share of the largest value.
+const LABEL_ROW_HEIGHT: f64 = 0.07;
+/// Smallest width of an incident's band, as a share of the rehearsal.
+const MIN_BAND_WIDTH: f64 = 0.002;
 
 type Error = Box<dyn std::error::Error>;
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
@@ -61,8 +67,8 @@
 macro_rules! chart {
     ($area:expr, $report:expr, $title:expr, $max:expr, $y_label:expr) => {{
         let max: f64 = $max;
-        let rows = $report.bands.len().min(8) as f64;
-        let top = max * (1.0 + 0.07 * rows);
+        let rows = $report.bands.len().min(MAX_LABEL_ROWS) as f64;
+        let top = max * (1.0 + LABEL_ROW_HEIGHT * rows);
         let mut chart = ChartBuilder::on($area)
             .caption($title, ("sans-serif", 18))
             .margin(12)
@@ -71,11 +77,11 @@
             .build_cartesian_2d(0.0..$report.seconds, 0.0..top)?;
         chart.configure_mesh().light_line_style(WHITE).x_desc("seconds").y_desc($y_label).draw()?;
         for (i, band) in $report.bands.iter().enumerate() {
-            let row = (i % 8) as f64;
+            let row = (i % MAX_LABEL_ROWS) as f64;
             let shade = colour(i + 1).mix(0.10).filled();
-            let to = band.to.max(band.from + $report.seconds * 0.002);
+            let to = band.to.max(band.from + $report.seconds * MIN_BAND_WIDTH);
             chart.draw_series([Rectangle::new([(band.from, 0.0), (to, top)], shade)])?;
-            let position = (band.from, top - max * 0.07 * (row + 0.15));
+            let position = (band.from, top - max * LABEL_ROW_HEIGHT * (row + 0.15));
             let style = ("sans-serif", 13).into_font().color(&colour(i + 1));
             chart.draw_series([Text::new(band.kind.clone(), position, style)])?;
         }
--- a/rehearsal/tests/dimension.rs
+++ b/rehearsal/tests/dimension.rs
@@ -9,6 +9,9 @@
 use trunks::offered::{by_group, holding};
 use trunks::widths::{self, Class};
 
+/// The Unix time at which the 600 s of offered calls end, in milliseconds.
+const OFFERING_END_MS: i64 = 1_800_000_000_000 + 600_000;
+
 /// Four nodes on which calls are lost only for want of circuits.
 fn four_node_script(seconds: u32, keys: &str) -> Script {
     let text = format!(
@@ -29,8 +32,7 @@
         let found = rehearse_measured(&script, seed, &calendar).unwrap();
         assert!(found.run.rules_broken.values().all(|n| *n == 0));
         let whole: Vec<_> = found.intervals.into_iter().filter(|i| i.measured == (i.from, i.to)).collect();
-        let end_ms = 1_800_000_000_000 + 600_000;
-        let whole: Vec<_> = whole.into_iter().filter(|i| i.to <= end_ms).collect();
+        let whole: Vec<_> = whole.into_iter().filter(|i| i.to <= OFFERING_END_MS).collect();
         assert_eq!(whole.len(), 4 * 10, "ten whole minutes at each of four exchanges");
         let hold = holding(&whole)["view"].mean().unwrap();
         assert!((hold - 6.0).abs() < 0.6, "{hold}");
@@ -55,9 +57,11 @@
     let calendar = Calendar::new("UTC", 5).unwrap();
     let script = four_node_script(600, "groups: { drift: 0, spare_roots: 3 },");
     let found = rehearse_measured(&script, 7, &calendar).unwrap();
-    let end_ms = 1_800_000_000_000 + 600_000;
-    let whole: Vec<_> =
-        found.intervals.into_iter().filter(|i| i.measured == (i.from, i.to) && i.to <= end_ms).collect();
+    let whole: Vec<_> = found
+        .intervals
+        .into_iter()
+        .filter(|i| i.measured == (i.from, i.to) && i.to <= OFFERING_END_MS)
+        .collect();
     let both_ends = by_group(&whole);
     let exchange_0: Vec<_> = whole.iter().filter(|i| i.exchange == 0).cloned().collect();
     for (ends, loads) in by_group(&exchange_0) {
@@ -170,9 +174,11 @@
     let (mut covered, mut total, mut size_errors, mut outside) = (0, 0, [0u32; 4], 0);
     for seed in 1..=200 {
         let found = rehearse_measured(&script, seed, &calendar).unwrap();
-        let end_ms = 1_800_000_000_000 + 600_000;
-        let whole: Vec<_> =
-            found.intervals.into_iter().filter(|i| i.measured == (i.from, i.to) && i.to <= end_ms).collect();
+        let whole: Vec<_> = found
+            .intervals
+            .into_iter()
+            .filter(|i| i.measured == (i.from, i.to) && i.to <= OFFERING_END_MS)
+            .collect();
         let hold = holding(&whole);
         for (ends, loads) in by_group(&whole) {
             let calls: u64 = loads.iter().map(|l| l.classes["view"].calls).sum();
