--- a/ctl/src/soak.rs
+++ b/ctl/src/soak.rs
@@ -57,7 +57,7 @@
         print!("{}", plan::generate(arguments.first));
         return Ok(ExitCode::SUCCESS);
     }
-    let report = soak::play(&SoakOptions {
+    let report = soak::run(&SoakOptions {
         plans: arguments.plans()?,
         jobs: arguments.jobs as usize,
         program: arguments.program.clone(),
--- a/rehearsal/src/report.rs
+++ b/rehearsal/src/report.rs
@@ -304,12 +304,12 @@
         auditor: &crate::audit::Auditor,
         digest: String,
     ) -> RunReport {
-        let classes = script.classes.iter().zip(&statistics.classes).map(|(class, statistics)| {
+        let classes = script.classes.iter().zip(&statistics.classes).map(|(class, result)| {
             (
                 class.name.clone(),
                 ClassReport {
-                    service_worth: share(statistics.worth_earned, statistics.worth_offered),
-                    calls: statistics.calls.clone(),
+                    service_worth: share(result.worth_earned, result.worth_offered),
+                    calls: result.calls.clone(),
                 },
             )
         });
--- a/rehearsal/src/soak/mod.rs
+++ b/rehearsal/src/soak/mod.rs
@@ -54,7 +54,7 @@
 }
 
 /// Plays all scripts and combines their results.
-pub fn play(options: &SoakOptions) -> Result<SoakReport, String> {
+pub fn run(options: &SoakOptions) -> Result<SoakReport, String> {
     let next_plan = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -62,7 +62,7 @@
             scope.spawn(|| {
                 while let Some((seed, script)) = options.plans.get(next_plan.fetch_add(1, Ordering::Relaxed))
                 {
-                    let played = play_one(options, *seed, script);
+                    let played = run_one(options, *seed, script);
                     results.lock().expect("no thread panics while it holds the lock").push((*seed, played));
                 }
             });
@@ -79,7 +79,7 @@
     Ok(report)
 }
 
-fn play_one(options: &SoakOptions, seed: u64, script: &Script) -> Result<(RunReport, Lateness), String> {
+fn run_one(options: &SoakOptions, seed: u64, script: &Script) -> Result<(RunReport, Lateness), String> {
     let logs = options.logs.as_ref().map(|folder| folder.join(format!("seed-{seed}")));
     let run_options = wall_clock::RunOptions { short: false, trace: None, logs: logs.clone() };
     let played = wall_clock::rehearse_once(script, seed, &options.program, &run_options)?;
--- a/rehearsal/tests/soak.rs
+++ b/rehearsal/tests/soak.rs
@@ -4,7 +4,7 @@
 
 use rehearsal::audit::Rule;
 use rehearsal::script::Script;
-use rehearsal::soak::{plan, play, SoakOptions, SoakReport};
+use rehearsal::soak::{self, plan, SoakOptions, SoakReport};
 
 /// Seeds that are all played at the same time. With the release of incident f7b4cc, the first two fail with set-ups
 /// that are unanswered at a shutdown, and the others with callers that are told too late of a vanished exchange.
@@ -18,19 +18,19 @@
     program
 }
 
-fn soak(plans: Vec<(u64, Script)>, program: PathBuf) -> SoakReport {
+fn run_soak(plans: Vec<(u64, Script)>, program: PathBuf) -> SoakReport {
     let jobs = plans.len();
-    play(&SoakOptions { plans, jobs, program, logs: None }).unwrap()
+    soak::run(&SoakOptions { plans, jobs, program, logs: None }).unwrap()
 }
 
 #[test]
 fn no_rule_is_broken_with_fixed_seeds() {
     let plans = SEEDS.map(|seed| (seed, Script::parse("plan", &plan::generate(seed)).unwrap()));
-    let soak = soak(plans.to_vec(), dillhold());
-    println!("runs that are not judged, because the driver fell behind: {:?}", soak.late);
-    assert!(!soak.has_breaches(), "{:#?}", soak.breaches.first());
-    assert_eq!((soak.runs, soak.crashes), (SEEDS.len(), 0));
-    assert_eq!(soak.rules_broken.len(), Rule::ALL.len(), "rules without a breach are listed too");
+    let report = run_soak(plans.to_vec(), dillhold());
+    println!("runs that are not judged, because the driver fell behind: {:?}", report.late);
+    assert!(!report.has_breaches(), "{:#?}", report.breaches.first());
+    assert_eq!((report.runs, report.crashes), (SEEDS.len(), 0));
+    assert_eq!(report.rules_broken.len(), Rule::ALL.len(), "rules without a breach are listed too");
 }
 
 /// Writes an executable shell script that stands in for the controller.
@@ -58,10 +58,14 @@
         for (rule, program, limits) in cases {
             let plans = script(limits);
             scope.spawn(move || {
-                let soak = soak(plans, program);
-                assert!(soak.late.is_empty(), "the driver fell behind: the run cannot be judged");
-                assert!(soak.rules_broken[&rule] > 0, "{rule:?} is not detected: {:?}", soak.rules_broken);
-                assert_eq!(soak.crashes > 0, rule == Rule::RunsOn);
+                let report = run_soak(plans, program);
+                assert!(report.late.is_empty(), "the driver fell behind: the run cannot be judged");
+                assert!(
+                    report.rules_broken[&rule] > 0,
+                    "{rule:?} is not detected: {:?}",
+                    report.rules_broken
+                );
+                assert_eq!(report.crashes > 0, rule == Rule::RunsOn);
             });
         }
     });
