--- a/src/controller.rs
+++ b/src/controller.rs
@@ -63,16 +63,16 @@
 const BUSY_NUMBER_FIRST_BACKOFF_SECS: f64 = 1.0;
 /// Longest backoff of a busy number.
 const BUSY_NUMBER_MAX_BACKOFF_SECS: f64 = 8.0;
-/// Capacity of the table of dialled numbers. When it is full, expired entries are removed; if none has
-/// expired, the table is cleared.
+/// Capacity of the table of dialled numbers. When it is full, expired entries are removed; if it is still
+/// full, it is cleared.
 const MAX_DIALLED_NUMBERS: usize = 5000;
 /// Time constant of the rate of carried calls, from which an exchange's capacity is estimated.
 const CARRIED_RATE_SPAN_SECS: f64 = 15.0;
 /// Set-ups per second that a warm exchange can take per call per second carried here. For each such call it
 /// processes the set-up, the answer and the release, and as much again for about one call that ends there.
 const WARM_SET_UPS_PER_CARRIED_CALL: f64 = 3.0;
-/// Lower limit of the share of the averaging span used to correct a rate measured for less than the span.
-const MIN_MEASURED_SPAN_SHARE: f64 = 0.2;
+/// Lower limit of the bias correction of a rate that has been measured for less than the averaging span.
+const MIN_RATE_BIAS_CORRECTION: f64 = 0.2;
 /// Time constant of the decay of the peak carried rate. Destinations without a call for as long are removed.
 const PEAK_RATE_DECAY_SECS: f64 = 600.0;
 /// Above this share of unexplained failures the exchange is at fault, not the call: a retry may succeed.
@@ -120,7 +120,7 @@
     failed: bool,
     /// Upper limit of its validity: one target, so that a single pause cannot close a route for long.
     max_validity_secs: f64,
-    /// How long a failure on the far side stays in force on this route, beyond that validity.
+    /// How long after its end a far-side failure stays in force on this route, even past its validity.
     failure_hold_secs: f64,
 }
 
@@ -144,7 +144,7 @@
     pending: Vec<PendingSetUp>,
     /// Consecutive failures, each of a set-up sent after the previous failure was known; counts to two.
     consecutive_failures: u32,
-    /// When the newest answered set-up was sent. Older set-ups still pending are ignored as strays.
+    /// When the newest answered set-up was sent. Older set-ups that are still pending do not count.
     newest_answered_sent_at: Nanos,
     last_used: Nanos,
 }
@@ -161,10 +161,10 @@
         })
     }
 
-    /// The minimum round trip as far as it can be relied on. Only an answer lowers the minimum: after a hang,
-    /// one late first answer closed its route permanently, because nothing was sent that could have been
-    /// answered sooner. A route unused for long therefore gets a lower assumed minimum, so that a call tries
-    /// it again. The delay ratio still applies.
+    /// The minimum round trip as far as it can be relied on. Only an answer lowers the minimum: after a
+    /// processor hang, one late first answer closed its route permanently, because nothing was sent that
+    /// could have been answered sooner. A route unused for long therefore gets a lower assumed minimum, so
+    /// that a call tries it again. The delay ratio still applies.
     fn trusted_min_rtt_secs(&self, now: Nanos, load: LoadEstimate) -> f64 {
         let unused =
             nanos_to_secs(now - self.last_used) > UNUSED_ROUTE_RETRY_TARGETS * load.longest_target_secs;
@@ -189,6 +189,7 @@
     }
 }
 
+/// A listed exchange.
 #[derive(Clone, Debug)]
 struct Exchange {
     number: u32,
@@ -221,6 +222,7 @@
 /// A group without any report.
 const UNREPORTED_GROUP: TrunkGroup = TrunkGroup { free: f64::INFINITY, size: 0.0 };
 
+/// A pending attempt.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     number: u32,
@@ -244,6 +246,7 @@
 }
 
 /// Where to send a call.
+#[derive(Clone, Copy, Debug)]
 struct RouteChoice {
     exchange: ExchangeId,
     predicted_secs: f64,
@@ -251,6 +254,7 @@
     wait: Nanos,
 }
 
+/// A call that has no final answer yet, or an attempt pending.
 #[derive(Clone, Debug)]
 struct Call {
     request: NewCall,
@@ -654,11 +658,7 @@
         if !blocked || call.request.in_transit || self.settings.topology == Topology::Pools {
             return None; // a call in transit goes to its destination or is turned back
         }
-        self.select_tandem(now, call, load).map(|(exchange, predicted_secs)| RouteChoice {
-            exchange,
-            predicted_secs,
-            wait: 0,
-        })
+        self.select_tandem(now, call, load)
     }
 
     /// Pools that can serve the call: its first choice, the advised one, then all others.
@@ -674,8 +674,8 @@
         candidates
     }
 
-    /// Selects a tandem, with its predicted seconds: the advised one, the last good one, or a random one.
-    fn select_tandem(&mut self, now: Nanos, call: &Call, load: LoadEstimate) -> Option<(ExchangeId, f64)> {
+    /// Selects a tandem: the advised one, the last good one, or a random one.
+    fn select_tandem(&mut self, now: Nanos, call: &Call, load: LoadEstimate) -> Option<RouteChoice> {
         let destination = call.request.destination;
         // The tandem's group to the destination is unknown; the mean of the own groups stands in for it.
         let groups = self.trunk_groups.values().filter(|g| g.size > 0.0);
@@ -697,7 +697,7 @@
             let scarcity =
                 self.circuit_scarcity(self.trunk_group(id), call.request.width) + second_leg_scarcity;
             let acceptance = self.tandem_acceptance[usize::from(Some(id) == advised)];
-            Some((id, predicted_secs))
+            Some(RouteChoice { exchange: id, predicted_secs, wait: 0 })
                 .filter(|_| self.expected_payoff(now, call, predicted_secs, 1.5, scarcity, acceptance) > 0.0)
         };
         let last_good = self.destinations.get(&destination).and_then(|d| d.last_good_tandem);
@@ -749,11 +749,11 @@
         }
     }
 
-    /// When the caller first tried: a number dialled before and not reached is taken for a redial. Otherwise
-    /// each redial would get a new delay target here although the caller counts from its first try, and
-    /// calls that can only be late would take the circuits of calls on time. Two callers of one number are
-    /// taken for one; the second call then merely seems later than it is.
-    fn first_try_at(&mut self, now: Nanos, request: &NewCall, redial_span: Nanos) -> Nanos {
+    /// Returns when the caller first tried: a number dialled before and not reached is taken for a redial.
+    /// Otherwise each redial would get a new delay target here although the caller counts from its first try,
+    /// and calls that can only be late would take the circuits of calls on time. Two callers of one number
+    /// are taken for one; the second call then merely seems later than it is.
+    fn track_first_try(&mut self, now: Nanos, request: &NewCall, redial_span: Nanos) -> Nanos {
         let Some(number) = request.dialled.filter(|_| !request.after_cut && !request.in_transit) else {
             return now;
         };
@@ -847,7 +847,7 @@
         }
         let answer_by = request.deadline.saturating_sub(ANSWER_MARGIN_TICKS * self.settings.tick).max(now);
         let (delay_target, redial_span) = (class.delay_target, class.deadline);
-        let on_time_until = (self.first_try_at(now, &request, redial_span) + delay_target).min(answer_by);
+        let on_time_until = (self.track_first_try(now, &request, redial_span) + delay_target).min(answer_by);
         let call = Call {
             request,
             on_time_until,
@@ -1008,7 +1008,7 @@
         // Corrects the bias of a rate that has been measured for less than the averaging span.
         let measured_secs = nanos_to_secs(now - self.first_call_at.unwrap_or(now));
         let corrected_rate = self.carried_rate
-            / (1.0 - libm::exp(-measured_secs / CARRIED_RATE_SPAN_SECS)).max(MIN_MEASURED_SPAN_SHARE);
+            / (1.0 - libm::exp(-measured_secs / CARRIED_RATE_SPAN_SECS)).max(MIN_RATE_BIAS_CORRECTION);
         self.peak_carried_rate =
             corrected_rate.max(self.peak_carried_rate * libm::exp(-since_update / PEAK_RATE_DECAY_SECS));
         self.carried_rate_updated_at = now;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -80,12 +80,12 @@
         }
     }
 
-    /// A required string.
+    /// Returns a required string.
     pub fn text(&self, index: usize, field: &str) -> Result<&str, WireError> {
         self.require(field, "a string", self.value(index).as_str())
     }
 
-    /// A required non-negative integer.
+    /// Returns a required non-negative integer.
     pub fn integer(&self, index: usize, field: &str) -> Result<u64, WireError> {
         self.require(field, "a non-negative integer", as_integer(self.value(index)))
     }
@@ -102,11 +102,13 @@
     }
 }
 
+/// Reads a non-negative integer, also one written as a float.
 fn as_integer(v: &Value) -> Option<u64> {
     v.as_u64()
         .or_else(|| v.as_f64().filter(|f| f.fract() == 0.0 && (0.0..1.8e19).contains(f)).map(|f| f as u64))
 }
 
+/// Reads a finite number.
 fn as_number(v: &Value) -> Option<f64> {
     v.as_f64().filter(|f| f.is_finite())
 }
@@ -233,6 +235,7 @@
     next_number: NumberId,
 }
 
+const NANOS_PER_MS: u64 = 1_000_000;
 /// Capacity of the table of dialled numbers. When it is full, the table is cleared; ids are never reused.
 const MAX_DIALLED_NUMBERS: usize = 100_000;
 /// Bit of the call bitmap: the call is in transit.
@@ -471,7 +474,7 @@
             (2, 0) => Cause::TurnedBack,
             (2, _) => Cause::FullBeyond,
             (3, 0) => Cause::ProcessorFull(None),
-            (3, wait_ms) => Cause::ProcessorFull(Some(wait_ms.saturating_mul(1_000_000))),
+            (3, wait_ms) => Cause::ProcessorFull(Some(wait_ms.saturating_mul(NANOS_PER_MS))),
             (4, _) => Cause::NumberBusy,
             _ => Cause::Untold,
         };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -62,6 +62,7 @@
     pub exchange: ExchangeId,
 }
 
+/// Drives one controller on a simulated clock.
 pub struct Harness {
     pub controller: Controller,
     pub now: Nanos,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
 //! Property tests: random valid event sequences, under varied settings, against the rules that every
-//! controller has to keep. Assertion messages begin with the name of the rule.
+//! controller has to keep. Assertion messages begin with the rule's name where it has one.
 
 mod common;
 
@@ -392,8 +392,7 @@
         .unwrap();
 }
 
-/// Completes every call sent to exchange 1 since `start` and returns the times of the set-ups, from `start`
-/// on.
+/// Completes every call sent to exchange 1 since `start`. Returns the times of the set-ups since then.
 fn complete_sent_calls(harness: &mut Harness, start: Nanos) -> Vec<Nanos> {
     let sent: Vec<_> = harness.sent.drain(..).filter(|s| s.at >= start && s.exchange == 1).collect();
     for set_up in &sent {
