--- a/dillhold/src/call/messages.rs
+++ b/dillhold/src/call/messages.rs
@@ -26,7 +26,7 @@
     /// Whether the call is in transit here.
     pub in_transit: bool,
     /// Whether the call was cut before and is set up again.
-    pub is_redial: bool,
+    pub after_cut: bool,
     /// The session description, passed on byte for byte.
     pub description: &'a [u8],
 }
--- a/dillhold/src/call/mod.rs
+++ b/dillhold/src/call/mod.rs
@@ -425,7 +425,7 @@
             Some(set_up.called_number).filter(|n| !n.is_empty()).map(|n| self.number_handles.handle(now, n));
         if let (Some(meter), Some(call)) = (&mut self.meter, self.calls_by_id.get_mut(&set_up.call_id)) {
             call.number_handle = dialled;
-            meter.offered(unix_ms(now), call.metered(), dialled, set_up.is_redial);
+            meter.offered(unix_ms(now), call.metered(), dialled, set_up.after_cut);
         }
         self.dispatch_event(
             now,
@@ -438,7 +438,7 @@
                 width,
                 advised_route: set_up.advised_tandem,
                 in_transit: set_up.in_transit,
-                after_cut: set_up.is_redial,
+                after_cut: set_up.after_cut,
             }),
         );
         true
@@ -471,8 +471,8 @@
         true
     }
 
-    /// Removes an open set-up whose caller is gone or was answered without the decision module. With
-    /// `retire_id`, the id is not accepted again.
+    /// Removes an open set-up after its caller has left, or after it was answered without the decision
+    /// module. With `retire_id`, the id is not accepted again for a while.
     fn abandon_call(&mut self, now: Nanos, id: u64, retire_id: bool) {
         if let Some(handle) = self.mark_answered(id) {
             self.dispatch_event(now, Event::CallerHungUp(handle));
@@ -528,9 +528,9 @@
     fn handle_answer(&mut self, now: Nanos, exchange: ExchangeId, id: u64, description: &[u8]) {
         let Some(attempt) = self.pending_attempt_at(id, exchange) else {
             self.counters.increment("taken answers too late");
-            // The answer crossed the end of its attempt: the call now stands at the exchange and has to be
-            // released there. Two cases must not be: a duplicate answer, as it would release the standing
-            // call, and an answer with an id that was never sent, as no call stands for it.
+            // The answer crossed the end of its attempt: the call stands at the exchange and has to be
+            // released there. A duplicate answer is ignored, as the release would end the standing call, and
+            // so is an answer with an id that was never sent, as no call stands for it.
             let call = self.calls_by_id.get(&id);
             let is_duplicate = call
                 .and_then(|c| c.answered_attempt)
@@ -636,8 +636,8 @@
     fn dispatch_event(&mut self, now: Nanos, event: Event) {
         let mut actions = Vec::new();
         let module = &mut self.decision_module;
-        // A panic in the decision module loses the actions for this event but does not end the process. A
-        // call left without an answer is failed by its `FinalAnswer` deadline.
+        // A panic in the decision module costs the handling of this event, not the process. A call left
+        // without an answer is failed by its `FinalAnswer` deadline.
         if catch_unwind(AssertUnwindSafe(|| module.handle_event(now, event, &mut actions))).is_err() {
             self.counters.increment("errors panics in the module");
         }
--- a/dillhold/src/session/caller.rs
+++ b/dillhold/src/session/caller.rs
@@ -180,7 +180,7 @@
         width: None,
         advised_tandem: None,
         in_transit: false,
-        is_redial: false,
+        after_cut: false,
         description: message.parameter(param::DESCRIPTION).unwrap_or_default(),
     };
     // An attribute that is malformed or out of range invalidates the set-up; it does not count as absent.
@@ -198,7 +198,7 @@
             b"width" => set_up.width = parse_attribute(value, 1, i64::from(MAX_CALL_WIDTH)),
             b"via" => set_up.advised_tandem = parse_attribute(value, -1, i64::from(u32::MAX) - 1),
             b"transit" => set_up.in_transit = parse_attribute(value, 0, 1) == Some(1),
-            b"again" => set_up.is_redial = parse_attribute(value, 0, 1) == Some(1),
+            b"again" => set_up.after_cut = parse_attribute(value, 0, 1) == Some(1),
             _ => {}
         }
     }
--- a/dillhold/tests/calls.rs
+++ b/dillhold/tests/calls.rs
@@ -42,7 +42,7 @@
         width: None,
         advised_tandem: Some(2),
         in_transit,
-        is_redial: false,
+        after_cut: false,
         description: DESCRIPTION,
     }
 }
