--- a/dillhold/src/engine/callers.rs
+++ b/dillhold/src/engine/callers.rs
@@ -1,4 +1,4 @@
-//! Connections from callers: who is let in, who has to make room, and by which of them a call's end is told.
+//! Connections from callers: admission and eviction, timeouts, and the connection on which a release is sent.
 
 use pitchgw::interface::Nanos;
 
@@ -8,175 +8,194 @@
 use crate::clock::MS;
 use crate::session::caller::CallerSession;
 
-/// A connection that was told nothing within this time is closed, unless a set-up is open on it: whoever sends
-/// nothing, or nothing that can be answered, is owed a word or a close within 3 s.
-const NO_WORD: Nanos = 2_500 * MS;
-/// A message that does not become whole for so long never will.
-const HALF: Nanos = 2_500 * MS;
-/// A connection on which no call is open or stands is closed after so long. Callers close such connections
-/// after 4 s themselves; those that never do would take all descriptors in time.
-const IDLE: Nanos = 5_000 * MS;
-/// So many connections are kept however idle they are: on one of them the end of a call of before the start may have
-/// to be told, by a program that knows nothing of that call.
-const IDLE_KEPT: usize = 8;
-/// Time between two looks at a connection.
-const LOOK: Nanos = 500 * MS;
-/// A release waits so long for a connection that is known to have a caller at its other end. Towards the caller
-/// it is due within a second.
-const FOR_A_CALLER: Nanos = 400 * MS;
+/// A connection on which nothing was sent within this time is closed unless a set-up is open on it. A client that
+/// sends nothing, or nothing that can be answered, must get an answer or a close within 3 s.
+const UNANSWERED_TIMEOUT: Nanos = 2_500 * MS;
+/// How long a message may stay incomplete.
+const INCOMPLETE_MESSAGE_TIMEOUT: Nanos = 2_500 * MS;
+/// A connection without open or standing calls is closed after this time. Callers close such connections after 4 s
+/// themselves; without the timeout, those that never do would use up all file descriptors.
+const IDLE_TIMEOUT: Nanos = 5_000 * MS;
+/// Idle connections are not closed while there are at most this many: after a restart, one of them may be the only
+/// way to send the release of a call that this process does not know.
+const MIN_IDLE_CONNECTIONS: usize = 8;
+/// Interval between checks of a connection.
+const CHECK_INTERVAL: Nanos = 500 * MS;
+/// How long a release waits for a connection with a confirmed caller. It must reach the caller within a second.
+const CONFIRMED_CALLER_WAIT: Nanos = 400 * MS;
 
-/// A release for which no such connection came is told to so many others at once.
-const TOLD_AT_ONCE: usize = 16;
+/// The number of other connections that a release is sent on if no confirmed caller appears.
+const MAX_RELEASE_RECIPIENTS: usize = 16;
 
-/// The books on connections from callers.
+/// State of the connections from callers.
 #[derive(Default)]
 pub struct Callers {
-    /// How many there are.
+    /// The number of connections.
     pub count: usize,
-    /// Releases that wait for a connection: since when, the call and the cause.
-    undelivered: Vec<(Nanos, u64, u8)>,
+    /// Releases that wait for a connection.
+    undelivered: Vec<UndeliveredRelease>,
+}
+
+struct UndeliveredRelease {
+    since: Nanos,
+    call_id: u64,
+    cause: u8,
 }
 
 impl Engine {
-    /// A caller connects. Tells the number of its connection, or that there is no room for it.
+    /// Admits a connection from a caller; `None` if there is no capacity for it.
     pub fn accepted(&mut self) -> Option<ConnId> {
         let full =
             self.callers.count >= self.bounds.max_callers || self.conns.len() >= self.bounds.max_connections;
-        if full && !self.make_room() {
+        if full && !self.evict_caller() {
             self.calls.counters.increment("errors callers over the limit");
             return None;
         }
-        let token = self.add(Peer::Caller(CallerSession::default()), false);
+        let conn_id = self.add_conn(Peer::Caller(CallerSession::default()), false);
         self.callers.count += 1;
         self.calls.counters.increment("taken caller connections");
-        self.calls.deadlines.add(self.now + NO_WORD, Deadline::Engine(EngineDeadline::CallerCheck(token)));
-        self.touched.insert(token);
-        self.deliver(None);
-        Some(token)
+        self.calls
+            .deadlines
+            .add(self.now + UNANSWERED_TIMEOUT, Deadline::Engine(EngineDeadline::CallerCheck(conn_id)));
+        self.needs_flush.insert(conn_id);
+        self.deliver_releases(None);
+        Some(conn_id)
     }
 
-    /// Closes the connection that is of least use: the oldest of those never told that a call stands, else the
-    /// one that has been quiet for longest. One that has a call, or has an answer still to be written, stays:
-    /// closing it once cost callers their answers, and their releases went to strangers.
-    fn make_room(&mut self) -> bool {
-        // What was decided in this turn is written first: a connection may look idle with its answer on the way.
+    /// Closes the least useful connection: the oldest without a confirmed caller, otherwise the longest quiet one. A
+    /// connection with a call or with unsent bytes is kept: closing it would lose the caller's answer, and its
+    /// releases would go to other callers.
+    fn evict_caller(&mut self) -> bool {
+        // Answers of this turn are queued first, as a connection may look idle while its answer is pending.
         self.run_commands();
-        let free = |token: &u64| !self.calls.has_calls(*token) && self.pending_bytes(*token).is_empty();
-        let callers = self.conns.iter().filter_map(|(token, conn)| match &conn.peer {
+        let can_close =
+            |conn_id: &u64| !self.calls.has_calls(*conn_id) && self.pending_bytes(*conn_id).is_empty();
+        let callers = self.conns.iter().filter_map(|(conn_id, conn)| match &conn.peer {
             Peer::Caller(caller) => {
-                Some((caller.confirmed, if caller.confirmed { caller.last_message_at } else { 0 }, *token))
+                Some((caller.confirmed, if caller.confirmed { caller.last_message_at } else { 0 }, *conn_id))
             }
             _ => None,
         });
-        let least = callers.filter(|(.., token)| free(token)).min();
-        if let Some((.., token)) = least {
-            self.close(token, CloseReason::MakeRoom);
+        let least_useful = callers.filter(|(.., conn_id)| can_close(conn_id)).min();
+        if let Some((.., conn_id)) = least_useful {
+            self.close(conn_id, CloseReason::MakeRoom);
         }
-        least.is_some()
+        least_useful.is_some()
     }
 
-    /// Looks at a connection from callers; one that is of no use is closed.
-    pub(super) fn caller_due(&mut self, token: ConnId) {
-        // An answer that was decided in this turn is a word too.
+    /// Checks a caller's connection and closes it on a timeout.
+    pub(super) fn check_caller(&mut self, conn_id: ConnId) {
+        // An answer produced in this turn counts as an answer.
         self.run_commands();
-        let Some(conn) = self.conns.get(&token) else { return };
+        let Some(conn) = self.conns.get(&conn_id) else { return };
         let Peer::Caller(caller) = &conn.peer else { return };
         let since = |at: Nanos| self.now.saturating_sub(at);
-        let half = !caller.read_buffer.unread().is_empty() && since(conn.read) >= HALF;
-        let no_word = !caller.notified && !self.calls.has_open_set_ups(token);
-        let quiet = since(caller.last_message_at.max(conn.opened)) >= IDLE;
-        let idle = quiet && !self.calls.has_calls(token) && self.callers.count > IDLE_KEPT;
-        let reason = match (half, no_word, idle) {
+        let incomplete =
+            !caller.read_buffer.unread().is_empty() && since(conn.last_read_at) >= INCOMPLETE_MESSAGE_TIMEOUT;
+        let unanswered = !caller.notified && !self.calls.has_open_set_ups(conn_id);
+        let quiet = since(caller.last_message_at.max(conn.opened_at)) >= IDLE_TIMEOUT;
+        let idle = quiet && !self.calls.has_calls(conn_id) && self.callers.count > MIN_IDLE_CONNECTIONS;
+        let reason = match (incomplete, unanswered, idle) {
             (true, _, _) => Some(CloseReason::CallerMessageIncomplete),
             (_, true, _) => Some(CloseReason::CallerUnanswered),
             (_, _, true) => Some(CloseReason::CallerIdle),
             _ => None,
         };
         if let Some(reason) = reason {
-            return self.close(token, reason);
+            return self.close(conn_id, reason);
         }
-        self.calls.deadlines.add(self.now + LOOK, Deadline::Engine(EngineDeadline::CallerCheck(token)));
+        self.calls
+            .deadlines
+            .add(self.now + CHECK_INTERVAL, Deadline::Engine(EngineDeadline::CallerCheck(conn_id)));
     }
 
-    pub(super) fn say_caller(&mut self, link: Option<CallerConnId>, id: u64, say: &CallerNotification) {
-        let own = link.filter(|token| self.is_caller(*token));
-        let token = match say {
-            // What ends a call that stands may go to any caller, by the connection of its set-up first. To be
-            // known as a caller's a connection must have been told of a call that stands: whoever only tests
-            // or says nothing will hardly listen.
+    pub(super) fn notify_caller(
+        &mut self,
+        conn: Option<CallerConnId>,
+        call_id: u64,
+        notification: &CallerNotification,
+    ) {
+        let own = conn.filter(|conn_id| self.is_caller(*conn_id));
+        let conn_id = match notification {
+            // A release is sent on the connection of the call's set-up, otherwise on any with a confirmed caller: one
+            // that was sent an answer for a standing call. Clients that only send tests or nothing may ignore it.
             CallerNotification::Released(_) => {
-                let proven = |token: &u64| self.can_hear(*token, true);
-                own.filter(|t| self.can_hear(*t, false))
-                    .or_else(|| self.conns.keys().rev().copied().find(proven))
+                let confirmed = |conn_id: &u64| self.can_write_to_caller(*conn_id, true);
+                own.filter(|conn_id| self.can_write_to_caller(*conn_id, false))
+                    .or_else(|| self.conns.keys().rev().copied().find(confirmed))
             }
             _ => own,
         };
-        match (token, say) {
-            (Some(token), say) => self.write_caller(token, id, say),
+        match (conn_id, notification) {
+            (Some(conn_id), notification) => self.write_caller(conn_id, call_id, notification),
             (None, CallerNotification::Released(cause))
                 if self.callers.undelivered.len() < self.bounds.max_standing_calls =>
             {
-                self.callers.undelivered.push((self.now, id, *cause));
+                self.callers.undelivered.push(UndeliveredRelease { since: self.now, call_id, cause: *cause });
                 self.calls
                     .deadlines
-                    .add(self.now + FOR_A_CALLER, Deadline::Engine(EngineDeadline::DeliverReleases));
+                    .add(self.now + CONFIRMED_CALLER_WAIT, Deadline::Engine(EngineDeadline::DeliverReleases));
             }
             _ => self.calls.counters.increment("errors answers without a connection"),
         }
     }
 
-    /// Whether a caller's connection can still be written to, and is known to be one if that is asked for.
-    fn can_hear(&self, token: ConnId, proven: bool) -> bool {
-        let conn = self.conns.get(&token).filter(|c| !c.ended && !c.unreadable && !c.finishing);
-        conn.is_some_and(|c| matches!(&c.peer, Peer::Caller(caller) if caller.confirmed || !proven))
+    /// Whether a caller's connection can be written to; with `confirmed`, also whether its caller is confirmed.
+    fn can_write_to_caller(&self, conn_id: ConnId, confirmed: bool) -> bool {
+        let conn = self.conns.get(&conn_id).filter(|c| !c.read_closed && !c.unreadable && !c.write_closed);
+        conn.is_some_and(|c| matches!(&c.peer, Peer::Caller(caller) if caller.confirmed || !confirmed))
     }
 
-    fn write_caller(&mut self, token: ConnId, id: u64, say: &CallerNotification) {
-        let Some(Peer::Caller(caller)) = self.conns.get_mut(&token).map(|c| &mut c.peer) else { return };
-        let first = !caller.confirmed;
-        caller.send(self.now, id, say);
-        self.touched.insert(token);
-        if first && matches!(say, CallerNotification::Answer(_)) {
-            self.deliver(Some(token));
+    fn write_caller(&mut self, conn_id: ConnId, call_id: u64, notification: &CallerNotification) {
+        let Some(Peer::Caller(caller)) = self.conns.get_mut(&conn_id).map(|c| &mut c.peer) else { return };
+        let was_unconfirmed = !caller.confirmed;
+        caller.send(self.now, call_id, notification);
+        self.needs_flush.insert(conn_id);
+        if was_unconfirmed && matches!(notification, CallerNotification::Answer(_)) {
+            self.deliver_releases(Some(conn_id));
         }
     }
 
-    /// Says the releases that waited for a connection: on this one, which is known to have a caller at its
-    /// other end; those that have waited for long on any.
-    pub(super) fn deliver(&mut self, proven: Option<ConnId>) {
+    /// Sends the waiting releases on the connection `confirmed`, which has a confirmed caller. Without one, sends those
+    /// that have waited for [`CONFIRMED_CALLER_WAIT`] on several connections that may have one.
+    pub(super) fn deliver_releases(&mut self, confirmed: Option<ConnId>) {
         if self.callers.undelivered.is_empty() {
             return;
         }
-        let to = proven.map_or_else(|| self.may_be_callers(), |token| vec![token]);
+        let to = confirmed.map_or_else(|| self.possible_callers(), |conn_id| vec![conn_id]);
         if to.is_empty() {
             return;
         }
-        let until = self.now;
-        let waits = |since: Nanos| proven.is_none() && until < since + FOR_A_CALLER;
-        let waiting = std::mem::take(&mut self.callers.undelivered);
-        for (since, id, cause) in waiting {
-            if waits(since) {
-                self.callers.undelivered.push((since, id, cause));
+        let now = self.now;
+        let keeps_waiting = |since: Nanos| confirmed.is_none() && now < since + CONFIRMED_CALLER_WAIT;
+        let undelivered = std::mem::take(&mut self.callers.undelivered);
+        for release in undelivered {
+            if keeps_waiting(release.since) {
+                self.callers.undelivered.push(release);
             } else {
+                let UndeliveredRelease { call_id, cause, .. } = release;
                 tracing::debug!(
-                    call = format_args!("{id:016x}"),
+                    call = format_args!("{call_id:016x}"),
                     cause,
                     ?to,
-                    "release told on other connections"
+                    "release sent on other connections"
                 );
-                to.iter()
-                    .for_each(|token| self.write_caller(*token, id, &CallerNotification::Released(cause)));
+                to.iter().for_each(|conn_id| {
+                    self.write_caller(*conn_id, call_id, &CallerNotification::Released(cause))
+                });
             }
         }
     }
 
-    /// The newest connections at whose other ends callers may be. None of them is known to have one, and strangers
-    /// connect too: what ends a call is told to several.
-    fn may_be_callers(&self) -> Vec<ConnId> {
-        let sound = |token: &ConnId| match self.conns.get(token).map(|c| &c.peer) {
-            Some(Peer::Caller(caller)) => self.can_hear(*token, false) && caller.is_well_behaved(),
+    /// The newest connections that may have a caller. None of them is confirmed and other clients connect too, so a
+    /// release is sent on several.
+    fn possible_callers(&self) -> Vec<ConnId> {
+        let eligible = |conn_id: &ConnId| match self.conns.get(conn_id).map(|c| &c.peer) {
+            Some(Peer::Caller(caller)) => {
+                self.can_write_to_caller(*conn_id, false) && caller.is_well_behaved()
+            }
             _ => false,
         };
-        self.conns.keys().rev().copied().filter(sound).take(TOLD_AT_ONCE).collect()
+        self.conns.keys().rev().copied().filter(eligible).take(MAX_RELEASE_RECIPIENTS).collect()
     }
 }
--- a/dillhold/src/engine/close_reason.rs
+++ b/dillhold/src/engine/close_reason.rs
@@ -1,40 +1,40 @@
-//! Why the engine closes a connection of its own accord.
+//! Reasons for which the engine closes a connection.
 
-/// A reason, with the counter it is counted under.
+/// A reason. The variants are logged by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// A caller made room for another one.
+    /// An unused connection from callers, closed for a new one.
     MakeRoom,
     /// A caller's message stayed incomplete.
     CallerMessageIncomplete,
-    /// A caller was told nothing and no set-up is open on its connection.
+    /// Nothing was sent to the caller, and no set-up is open on its connection.
     CallerUnanswered,
-    /// A caller has no call and has been quiet.
+    /// The caller's connection has no call and no recent message.
     CallerIdle,
-    /// The buffers of all connections take too much memory, and this one more than its share.
+    /// The buffers of all connections use too much memory, and those of this one more than their share.
     OutOfMemory,
-    /// Too many bytes wait to be written.
+    /// Too many bytes are waiting to be written.
     SlowReader,
-    /// An exchange said nothing at all after a set-up.
+    /// The exchange sent nothing after a set-up.
     ExchangeSilent,
-    /// Nothing came from an exchange for long on this connection, though calls stand there.
+    /// The connection has had no input for too long, although calls stand at the exchange.
     ExchangeQuiet,
     /// An exchange's message stayed incomplete.
     ExchangeMessageIncomplete,
-    /// An exchange gave no sign of life and is taken for dead.
+    /// The exchange gave no sign of life and is considered dead.
     ExchangeVanished,
     /// The journal service did not answer in time.
     JournalSilent,
-    /// What came cannot be read.
+    /// The input cannot be parsed.
     Unreadable,
-    /// The process leaves, and nothing is left on the connection.
+    /// The process is shutting down, and the connection is unused.
     Leaving,
-    /// The other side writes no more, or cannot be read on, and nothing is left to be written to it.
+    /// The peer has closed its writing side or sent unreadable input, and nothing is left to be written to it.
     Finished,
 }
 
 impl CloseReason {
-    /// The counter, where there is one.
+    /// The counter of this reason, if it has one.
     pub fn counter(self) -> Option<&'static str> {
         Some(match self {
             CloseReason::MakeRoom => "closed callers to make room",
--- a/dillhold/src/engine/discovery.rs
+++ b/dillhold/src/engine/discovery.rs
@@ -1,9 +1,10 @@
-//! Discovery, as the journal service gives it: when it is asked, and what follows from each way in which a call to it can
-//! fail. One question is out at a time.
+//! Requests to the journal service: when the next one is sent, and the backoff after each kind of failure. One
+//! request is outstanding at a time.
 //!
-//! - *asking*: a question is out, and its answer is waited for;
-//! - *waiting*: an answer came sooner than was asked for and had nothing in it; the next question waits a little;
-//! - *backing off*: a call has failed; the next one waits a little, and longer if it fails again.
+//! - *awaiting answer*: a request is outstanding;
+//! - *idle*: an answer has come, and the next request is sent at once or, if the answer came early and empty, after a
+//!   delay;
+//! - *backing off*: a request has failed, and is retried after a delay that grows if it fails again.
 
 use std::net::SocketAddr;
 
@@ -12,39 +13,40 @@
 use crate::clock::MS;
 use crate::session::journal::LONG_POLL_MS;
 
-/// Pause before the next question after an answer that came too soon, or after a first failure.
-const FIRST_PAUSE: Nanos = 200 * MS;
-/// The same after a failure that follows a failure: a service that is down or crowded is asked less often.
-const NEXT_PAUSE: Nanos = 400 * MS;
-/// The wait that is asked for.
-const HOLD: Nanos = LONG_POLL_MS * MS;
-/// An answer is overdue so long after the service should have given it at the latest. What a silent service would have
-/// told counts as told 2 s after the end of the wait; 0.6 s are left to ask again. Given up sooner, a service that is
-/// only slow would be asked more often, and answer no call.
-const OVERDUE: Nanos = 1_400 * MS;
-
-/// A way in which a call can fail.
+/// Delay of the next request after an answer that came too early, or after a first failure.
+const FIRST_RETRY_DELAY: Nanos = 200 * MS;
+/// Delay after repeated failures, to send a service that is down or overloaded fewer requests.
+const REPEATED_RETRY_DELAY: Nanos = 400 * MS;
+/// How long the service is asked to hold a request when it has no event.
+const REQUESTED_WAIT: Nanos = LONG_POLL_MS * MS;
+/// How long after [`REQUESTED_WAIT`] an answer times out. Events of a silent service count as delivered 2 s after the
+/// end of the wait; 0.6 s of that are left for a retry. A shorter timeout would send a slow service more requests and
+/// get no answer to any of them.
+const ANSWER_TIMEOUT_MARGIN: Nanos = 1_400 * MS;
+
+/// The ways in which a request can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection came up: refused, timed out, or none to spare.
+    /// No connection was established: refused, timed out, or at the connection limit.
     NotConnected,
-    /// The connection ended with the answer outstanding or incomplete, or the answer cannot be read.
+    /// The connection ended before a complete answer, or the answer cannot be parsed.
     BrokenOff,
-    /// Nothing came in time.
+    /// The answer timed out.
     Overdue,
-    /// The service has another address now.
+    /// The service has moved to another address.
     Moved,
 }
 
 impl Failure {
-    /// The time by which a change counts as told, however the next calls go: after a failed, refused or given-up call
-    /// 6 s from when the service had it and could be reached; where the pages give an earlier time, that one. It is
-    /// 2 s from a break, 2 s from the end of the wait of a silent call, and 4 s from a new configuration.
-    pub fn counts_as_told_after(self) -> Nanos {
+    /// The time after which a change counts as delivered, whatever becomes of later requests. In general that is 6 s
+    /// after a failed, refused or abandoned request, counted from when the service had the change and could be
+    /// reached. Specific rules set it earlier: 2 s after a broken connection, 2 s after the end of the wait of a
+    /// silent request, and 4 s after a new configuration.
+    pub fn counts_as_delivered_after(self) -> Nanos {
         match self {
             Failure::NotConnected => 6_000 * MS,
             Failure::BrokenOff => 2_000 * MS,
-            Failure::Overdue => HOLD + 2_000 * MS,
+            Failure::Overdue => REQUESTED_WAIT + 2_000 * MS,
             Failure::Moved => 4_000 * MS,
         }
     }
@@ -52,77 +54,78 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Asking { since: Nanos },
-    Waiting,
+    AwaitingAnswer { since: Nanos },
+    Idle,
     BackingOff,
 }
 
-/// What is known of the journal service.
+/// The state of the requests to the journal service.
 #[derive(Debug)]
 pub struct Discovery {
     address: SocketAddr,
     state: State,
-    /// Calls that failed in a row.
+    /// Consecutive failed requests.
     failures: u32,
 }
 
 impl Discovery {
-    /// A service that was not asked yet.
+    /// The state before the first request.
     pub fn new(address: SocketAddr) -> Discovery {
-        Discovery { address, state: State::Waiting, failures: 0 }
+        Discovery { address, state: State::Idle, failures: 0 }
     }
 
-    /// Where the service is.
+    /// The address of the service.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether a question is out. A second one would never be caught up with.
-    pub fn is_asking(&self) -> bool {
-        matches!(self.state, State::Asking { .. })
+    /// Whether a request is outstanding. A second one would never go away, as each answer is
+    /// followed by the next request.
+    pub fn is_awaiting_answer(&self) -> bool {
+        matches!(self.state, State::AwaitingAnswer { .. })
     }
 
-    /// A question goes out. Tells when its answer is overdue.
-    pub fn asked(&mut self, now: Nanos) -> Nanos {
-        self.state = State::Asking { since: now };
-        now + HOLD + OVERDUE
+    /// Records a request. Returns the time at which its answer times out.
+    pub fn request_sent(&mut self, now: Nanos) -> Nanos {
+        self.state = State::AwaitingAnswer { since: now };
+        now + REQUESTED_WAIT + ANSWER_TIMEOUT_MARGIN
     }
 
-    /// An answer came. Tells how long to wait with the next question: not at all, but after an answer without news that
-    /// came sooner than was asked for, or with events missing, or the two sides would keep each other busy.
-    pub fn answered(&mut self, now: Nanos, has_news: bool, is_complete: bool) -> Nanos {
-        let early = matches!(self.state, State::Asking { since } if now < since + HOLD / 2);
-        self.state = State::Waiting;
+    /// Records an answer. Returns the delay of the next request: none, except after an early answer without events or
+    /// after one with events missing, where an immediate request would make a busy loop.
+    pub fn answer_received(&mut self, now: Nanos, has_news: bool, is_complete: bool) -> Nanos {
+        let early = matches!(self.state, State::AwaitingAnswer { since } if now < since + REQUESTED_WAIT / 2);
+        self.state = State::Idle;
         self.failures = 0;
         if !is_complete || early && !has_news {
-            FIRST_PAUSE
+            FIRST_RETRY_DELAY
         } else {
             0
         }
     }
 
-    /// A call has failed. Tells how long to wait with the next question.
-    pub fn failed(&mut self, failure: Failure) -> Nanos {
+    /// Records a failed request. Returns the delay of the next one.
+    pub fn request_failed(&mut self, failure: Failure) -> Nanos {
         self.state = State::BackingOff;
         self.failures += 1;
-        let told_after_ms = failure.counts_as_told_after() / MS;
-        tracing::warn!(?failure, failures = self.failures, told_after_ms, "call to discovery failed");
+        let told_after_ms = failure.counts_as_delivered_after() / MS;
+        tracing::warn!(?failure, failures = self.failures, told_after_ms, "journal request failed");
         if self.failures == 1 {
-            FIRST_PAUSE
+            FIRST_RETRY_DELAY
         } else {
-            NEXT_PAUSE
+            REPEATED_RETRY_DELAY
         }
     }
 
-    /// Whether the answer is overdue.
+    /// Whether the answer has timed out.
     pub fn is_overdue(&self, now: Nanos) -> bool {
-        matches!(self.state, State::Asking { since } if now >= since + HOLD + OVERDUE)
+        matches!(self.state, State::AwaitingAnswer { since } if now >= since + REQUESTED_WAIT + ANSWER_TIMEOUT_MARGIN)
     }
 
-    /// The service has another address. It is asked there at once, from the last event known.
-    pub fn moved(&mut self, address: SocketAddr) {
-        let told_after_ms = Failure::Moved.counts_as_told_after() / MS;
-        tracing::info!(%address, told_after_ms, "discovery moved");
+    /// Changes the address of the service, which may be sent a request at once.
+    pub fn set_address(&mut self, address: SocketAddr) {
+        let told_after_ms = Failure::Moved.counts_as_delivered_after() / MS;
+        tracing::info!(%address, told_after_ms, "journal address changed");
         *self = Discovery::new(address);
     }
 }
@@ -136,42 +139,42 @@
     }
 
     #[test]
-    fn answers_are_followed_at_once_unless_they_came_early_with_nothing() {
+    fn next_request_is_immediate_unless_answer_was_early_and_empty_or_incomplete() {
         let mut discovery = discovery();
-        for (after, has_news, is_complete, pause) in [
-            (HOLD, false, true, 0),
+        for (after, has_news, is_complete, delay) in [
+            (REQUESTED_WAIT, false, true, 0),
             (MS, true, true, 0),
-            (MS, false, true, FIRST_PAUSE),
-            (MS, true, false, FIRST_PAUSE),
+            (MS, false, true, FIRST_RETRY_DELAY),
+            (MS, true, false, FIRST_RETRY_DELAY),
         ] {
-            discovery.asked(0);
-            assert!(discovery.is_asking());
-            assert_eq!(discovery.answered(after, has_news, is_complete), pause, "{after} {has_news}");
-            assert!(!discovery.is_asking());
+            discovery.request_sent(0);
+            assert!(discovery.is_awaiting_answer());
+            assert_eq!(discovery.answer_received(after, has_news, is_complete), delay, "{after} {has_news}");
+            assert!(!discovery.is_awaiting_answer());
         }
     }
 
     #[test]
-    fn after_every_failure_there_is_time_to_ask_again_before_news_count_as_told() {
-        // A connection may take half a second, and fail once more.
+    fn retry_is_possible_after_each_failure_before_events_count_as_delivered() {
+        // Connecting may take half a second, and fail once more.
         const CONNECT: Nanos = 500 * MS;
-        let again = FIRST_PAUSE + CONNECT + NEXT_PAUSE + CONNECT;
+        let again = FIRST_RETRY_DELAY + CONNECT + REPEATED_RETRY_DELAY + CONNECT;
         for failure in [Failure::NotConnected, Failure::BrokenOff, Failure::Moved] {
-            assert!(again < failure.counts_as_told_after(), "{failure:?}");
+            assert!(again < failure.counts_as_delivered_after(), "{failure:?}");
         }
-        let overdue = discovery().asked(0);
-        assert!(overdue + FIRST_PAUSE < Failure::Overdue.counts_as_told_after());
+        let overdue = discovery().request_sent(0);
+        assert!(overdue + FIRST_RETRY_DELAY < Failure::Overdue.counts_as_delivered_after());
     }
 
     #[test]
-    fn failures_in_a_row_are_followed_less_often_and_an_answer_ends_the_row() {
+    fn backoff_grows_after_repeated_failures_and_resets_after_an_answer() {
         let mut discovery = discovery();
-        let mut fail = || discovery.failed(Failure::NotConnected);
-        assert_eq!([fail(), fail(), fail()], [FIRST_PAUSE, NEXT_PAUSE, NEXT_PAUSE]);
-        discovery.asked(0);
-        discovery.answered(HOLD, false, true);
-        assert_eq!(discovery.failed(Failure::BrokenOff), FIRST_PAUSE);
-        discovery.moved("127.0.0.1:10".parse().unwrap());
-        assert!(!discovery.is_asking() && !discovery.is_overdue(Nanos::MAX));
+        let mut fail = || discovery.request_failed(Failure::NotConnected);
+        assert_eq!([fail(), fail(), fail()], [FIRST_RETRY_DELAY, REPEATED_RETRY_DELAY, REPEATED_RETRY_DELAY]);
+        discovery.request_sent(0);
+        discovery.answer_received(REQUESTED_WAIT, false, true);
+        assert_eq!(discovery.request_failed(Failure::BrokenOff), FIRST_RETRY_DELAY);
+        discovery.set_address("127.0.0.1:10".parse().unwrap());
+        assert!(!discovery.is_awaiting_answer() && !discovery.is_overdue(Nanos::MAX));
     }
 }
--- a/dillhold/src/engine/exchanges.rs
+++ b/dillhold/src/engine/exchanges.rs
@@ -1,4 +1,4 @@
-//! Links to exchanges, across their connections.
+//! Connections to exchanges: connecting, reconnecting and sending, and detection of dead connections.
 
 use std::collections::btree_map::Entry;
 use std::net::SocketAddr;
@@ -12,76 +12,76 @@
 use crate::clock::MS;
 use crate::session::exchange::ExchangeSession;
 
-/// Pause before an exchange is connected to again after it could not be reached.
-const REDIAL: Nanos = 250 * MS;
-/// So many refused connections in a row tell that the process has ended. One alone could be a restart of the
-/// listener; the calls that stand there are worth the wait.
-const REFUSALS: u32 = 3;
+/// Delay before reconnecting to an exchange that could not be reached.
+const RECONNECT_DELAY: Nanos = 250 * MS;
+/// Refused connections in a row after which the exchange's process is known to have ended, and its calls with it. A
+/// single refusal may come from a listener that is being restarted, and standing calls are worth waiting for.
+const REFUSALS_UNTIL_ENDED: u32 = 3;
 
-/// A message that does not become whole for so long never will, and nothing that follows it can be read.
-const HALF: Nanos = 500 * MS;
+/// How long a message may stay incomplete. After that it never completes, and what follows it cannot be parsed.
+const INCOMPLETE_MESSAGE_TIMEOUT: Nanos = 500 * MS;
 
-/// A connection on which nothing at all comes for so long after a set-up is dead, however open it looks: an
-/// exchange tells the state of the group at once, even while its processor answers nothing. Each time that a
-/// new connection stays as silent the next one is given twice as long, for then it is the exchange.
-const SILENT: Nanos = 200 * MS;
-/// So many times at the most.
-const PATIENCE: u32 = 4;
+/// How long after a set-up the first reply of any kind may take. An exchange reports the state of its group at once,
+/// even while its processor answers nothing, so a connection that stays silent is dead although it looks open. The
+/// timeout doubles for each new connection that stays silent too, as the cause is then the exchange.
+const REPLY_TIMEOUT: Nanos = 200 * MS;
+const MAX_REPLY_TIMEOUT_DOUBLINGS: u32 = 4;
 
-/// The link to an exchange, across its connections.
-pub struct Link {
+/// The link to an exchange. It outlives its connections.
+pub struct ExchangeLink {
     pub session: ExchangeSession,
     pub(super) address: SocketAddr,
     pub(super) conn: Option<ConnId>,
-    /// A connection that checks whether the exchange lives.
-    pub(super) check: Option<ConnId>,
+    /// The connection that is used for a liveness check.
+    pub(super) check_conn: Option<ConnId>,
     pub(super) detector: FailureDetector,
-    /// Refusals in a row, and when the last was counted.
-    refused: u32,
-    refused_at: Nanos,
-    /// When a connection last came up, and when something last came on one.
-    up_at: Nanos,
-    pub(super) heard_at: Nanos,
-    /// A redial is among the deadlines.
-    redial: bool,
-    /// When the first set-up was sent since anything came, and connections in a row that stayed silent.
-    unheard_since: Option<Nanos>,
-    silent: u32,
+    /// Refused connections in a row, and when the last one was counted.
+    refusals: u32,
+    last_refusal_at: Nanos,
+    /// When the connection was last established, and when input last came on one.
+    connected_at: Nanos,
+    pub(super) last_heard_at: Nanos,
+    /// Whether a reconnect is among the deadlines.
+    reconnect_scheduled: bool,
+    /// When the first set-up was sent after the last input.
+    awaiting_reply_since: Option<Nanos>,
+    /// Connections in a row that stayed silent after a set-up.
+    silent_connections: u32,
 }
 
-impl Link {
-    /// Something came.
-    fn heard(&mut self, now: Nanos) {
-        self.unheard_since = None;
-        self.silent = 0;
-        self.heard_at = now;
+impl ExchangeLink {
+    /// Records that bytes were read.
+    fn record_input(&mut self, now: Nanos) {
+        self.awaiting_reply_since = None;
+        self.silent_connections = 0;
+        self.last_heard_at = now;
         if self.session.has_requests {
-            self.detector.heard(now);
+            self.detector.record_input(now);
         } else {
-            self.detector.heard_unasked(now, self.up_at);
+            self.detector.record_unsolicited_input(now, self.connected_at);
         }
     }
 
-    /// Counts a refused connection; true if the process at the other end has ended. Set-ups dial too: refusals of
-    /// one moment count once.
+    /// Counts a refused connection; returns true if the exchange's process has ended. Sending a set-up also connects,
+    /// so refusals within [`RECONNECT_DELAY`] count once.
     pub(super) fn count_refusal(&mut self, now: Nanos) -> bool {
-        if now >= self.refused_at + REDIAL {
-            self.refused += 1;
-            self.refused_at = now;
+        if now >= self.last_refusal_at + RECONNECT_DELAY {
+            self.refusals += 1;
+            self.last_refusal_at = now;
         }
-        self.refused >= REFUSALS
+        self.refusals >= REFUSALS_UNTIL_ENDED
     }
 }
 
 impl Engine {
-    /// Brings the links in step with the list.
-    pub(super) fn listed(&mut self) {
-        let home = self.calls.settings().module.home_exchange;
-        let wanted = self.calls.directory.machines().filter(|(_, m)| Some(m.number) != home);
-        let wanted: Vec<_> = wanted.map(|(id, m)| (id, m.address, m.standing)).collect();
-        for (id, address, standing) in wanted {
+    /// Creates links for the listed exchanges, and replaces those whose address has changed.
+    pub(super) fn update_links(&mut self) {
+        let home_exchange = self.calls.settings().module.home_exchange;
+        let listed = self.calls.directory.machines().filter(|(_, m)| Some(m.number) != home_exchange);
+        let listed: Vec<_> = listed.map(|(id, m)| (id, m.address, m.standing)).collect();
+        for (id, address, state) in listed {
             let link = self.links.get(&id);
-            if standing == ExchangeState::Gone {
+            if state == ExchangeState::Gone {
                 continue;
             }
             if link.is_some_and(|l| l.address != address) {
@@ -89,148 +89,159 @@
             }
             if let Entry::Vacant(place) = self.links.entry(id) {
                 let session = ExchangeSession::default();
-                place.insert(Link {
+                place.insert(ExchangeLink {
                     session,
                     address,
                     conn: None,
-                    check: None,
+                    check_conn: None,
                     detector: FailureDetector::new(self.now),
-                    refused: 0,
-                    refused_at: 0,
-                    up_at: 0,
-                    heard_at: self.now,
-                    redial: false,
-                    unheard_since: None,
-                    silent: 0,
+                    refusals: 0,
+                    last_refusal_at: 0,
+                    connected_at: 0,
+                    last_heard_at: self.now,
+                    reconnect_scheduled: false,
+                    awaiting_reply_since: None,
+                    silent_connections: 0,
                 });
-                self.connect(id);
+                self.connect_exchange(id);
                 if self.calls.standing_calls_at(id) > 0 {
-                    self.watch(id);
+                    self.start_liveness_checks(id);
                 }
             }
         }
     }
 
     pub(super) fn drop_link(&mut self, id: ExchangeId) {
-        self.end_check(id);
+        self.stop_check(id);
         if let Some(link) = self.links.remove(&id) {
-            link.conn.and_then(|token| self.forget(token));
+            link.conn.and_then(|conn_id| self.remove_conn(conn_id));
             self.calls.exchange_disconnected(self.now, id, &[]);
         }
     }
 
-    fn connect(&mut self, id: ExchangeId) {
+    fn connect_exchange(&mut self, id: ExchangeId) {
         let Some(link) = self.links.get(&id).filter(|l| l.conn.is_none()) else { return };
-        let dialled = self.dial(link.address, Peer::Exchange(id));
-        match (dialled, self.links.get_mut(&id)) {
-            (Some(token), Some(link)) => link.conn = Some(token),
-            _ => self.link_lost(id, true, false),
+        let opened = self.connect(link.address, Peer::Exchange(id));
+        match (opened, self.links.get_mut(&id)) {
+            (Some(conn_id), Some(link)) => link.conn = Some(conn_id),
+            _ => self.exchange_disconnected(id, true, false),
         }
     }
 
-    /// The connection to an exchange is up.
-    pub(super) fn exchange_up(&mut self, id: ExchangeId) {
+    /// Handles an established connection to an exchange.
+    pub(super) fn exchange_connected(&mut self, id: ExchangeId) {
         if let Some(link) = self.links.get_mut(&id) {
-            link.refused = 0;
-            link.up_at = self.now;
-            link.heard_at = self.now;
+            link.refusals = 0;
+            link.connected_at = self.now;
+            link.last_heard_at = self.now;
             link.detector.connected(self.now);
             if link.session.has_unsent_set_ups() {
-                self.listen_for(id);
+                self.expect_reply(id);
             }
-            self.reachable_again(id);
+            self.schedule_comparison(id);
         }
         tracing::info!(exchange = id, "exchange connected");
         self.calls.counters.increment("sent exchange connections");
     }
 
-    /// Bytes came from an exchange; false if they cannot be read.
-    pub(super) fn exchange_said(&mut self, id: ExchangeId, token: ConnId) -> bool {
+    /// Processes input from an exchange. Returns false if it cannot be parsed.
+    pub(super) fn process_exchange_input(&mut self, id: ExchangeId, conn_id: ConnId) -> bool {
         let Some(link) = self.links.get_mut(&id) else { return false };
-        link.heard(self.now);
-        let before = link.session.incomplete_since;
+        link.record_input(self.now);
+        let incomplete_before = link.session.incomplete_since;
         let readable = link.session.process_input(self.now, id, &mut self.calls).is_ok();
-        if link.session.incomplete_since.is_some() && link.session.incomplete_since != before {
-            self.calls
-                .deadlines
-                .add(self.now + HALF, Deadline::Engine(EngineDeadline::IncompleteMessage(id, token)));
+        if link.session.incomplete_since.is_some() && link.session.incomplete_since != incomplete_before {
+            self.calls.deadlines.add(
+                self.now + INCOMPLETE_MESSAGE_TIMEOUT,
+                Deadline::Engine(EngineDeadline::IncompleteMessage(id, conn_id)),
+            );
         }
         readable
     }
 
-    pub(super) fn redial_due(&mut self, id: ExchangeId) {
+    pub(super) fn handle_reconnect(&mut self, id: ExchangeId) {
         if let Some(link) = self.links.get_mut(&id) {
-            link.redial = false;
-            self.connect(id);
+            link.reconnect_scheduled = false;
+            self.connect_exchange(id);
         }
     }
 
-    pub(super) fn link_lost(&mut self, id: ExchangeId, connect_failed: bool, refused: bool) {
+    pub(super) fn exchange_disconnected(&mut self, id: ExchangeId, connect_failed: bool, refused: bool) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        (link.conn, link.unheard_since) = (None, None);
+        (link.conn, link.awaiting_reply_since) = (None, None);
         let unsent = link.session.connection_lost();
-        let ended = refused && link.count_refusal(self.now);
+        let process_ended = refused && link.count_refusal(self.now);
         if !refused {
-            link.refused = 0;
-        }
-        if !link.redial {
-            // A connection that was up is made again at once, for what the exchange has to say meanwhile; one
-            // that ended as soon as it was up is not, or the two would keep each other busy.
-            link.redial = true;
-            let pause = if connect_failed || self.now < link.up_at + REDIAL { REDIAL } else { 0 };
-            self.calls.deadlines.add(self.now + pause, Deadline::Engine(EngineDeadline::Reconnect(id)));
+            link.refusals = 0;
+        }
+        if !link.reconnect_scheduled {
+            // An established connection is replaced at once, as the exchange may have something to send. One that was
+            // lost right after it was established is not, to avoid a tight reconnect loop.
+            link.reconnect_scheduled = true;
+            let delay = if connect_failed || self.now < link.connected_at + RECONNECT_DELAY {
+                RECONNECT_DELAY
+            } else {
+                0
+            };
+            self.calls.deadlines.add(self.now + delay, Deadline::Engine(EngineDeadline::Reconnect(id)));
         }
         self.calls.exchange_disconnected(self.now, id, &unsent);
-        if ended {
+        if process_ended {
             self.calls.exchange_ended(self.now, id, Nanos::MAX);
         }
     }
 
-    /// A set-up goes out on a connection that is up: something has to come back.
-    fn listen_for(&mut self, id: ExchangeId) {
+    /// Starts the reply timeout for a set-up sent on an established connection.
+    fn expect_reply(&mut self, id: ExchangeId) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        if let (Some(token), None) = (link.conn, link.unheard_since) {
-            link.unheard_since = Some(self.now);
-            let due = Deadline::Engine(EngineDeadline::SilenceTimeout(id, token));
-            self.calls.deadlines.add(self.now + (SILENT << link.silent), due);
+        if let (Some(conn_id), None) = (link.conn, link.awaiting_reply_since) {
+            link.awaiting_reply_since = Some(self.now);
+            let deadline = Deadline::Engine(EngineDeadline::SilenceTimeout(id, conn_id));
+            self.calls.deadlines.add(self.now + (REPLY_TIMEOUT << link.silent_connections), deadline);
         }
     }
 
-    pub(super) fn silent_due(&mut self, id: ExchangeId, token: ConnId) {
-        let Some(link) = self.links.get_mut(&id).filter(|l| l.conn == Some(token)) else { return };
-        if link.unheard_since.is_some_and(|since| self.now >= since + (SILENT << link.silent)) {
-            link.silent = (link.silent + 1).min(PATIENCE);
-            self.close(token, CloseReason::ExchangeSilent);
+    pub(super) fn handle_silent_connection(&mut self, id: ExchangeId, conn_id: ConnId) {
+        let Some(link) = self.links.get_mut(&id).filter(|l| l.conn == Some(conn_id)) else { return };
+        if link
+            .awaiting_reply_since
+            .is_some_and(|since| self.now >= since + (REPLY_TIMEOUT << link.silent_connections))
+        {
+            link.silent_connections = (link.silent_connections + 1).min(MAX_REPLY_TIMEOUT_DOUBLINGS);
+            self.close(conn_id, CloseReason::ExchangeSilent);
         }
     }
 
-    pub(super) fn half_due(&mut self, id: ExchangeId, token: ConnId) {
-        let link = self.links.get(&id).filter(|l| l.conn == Some(token));
-        if link.and_then(|l| l.session.incomplete_since).is_some_and(|since| self.now >= since + HALF) {
-            self.close(token, CloseReason::ExchangeMessageIncomplete);
+    pub(super) fn handle_incomplete_message(&mut self, id: ExchangeId, conn_id: ConnId) {
+        let link = self.links.get(&id).filter(|l| l.conn == Some(conn_id));
+        if link
+            .and_then(|l| l.session.incomplete_since)
+            .is_some_and(|since| self.now >= since + INCOMPLETE_MESSAGE_TIMEOUT)
+        {
+            self.close(conn_id, CloseReason::ExchangeMessageIncomplete);
         }
     }
 
-    pub(super) fn say_exchange(&mut self, to: ExchangeId, id: u64, say: &ExchangeRequest) {
+    pub(super) fn request_exchange(&mut self, to: ExchangeId, call_id: u64, request: &ExchangeRequest) {
         let Some(link) = self.links.get_mut(&to) else {
-            if let ExchangeRequest::SetUp { attempt, .. } = say {
-                self.calls.attempt_lost(self.now, id, *attempt, AttemptProgress::NeverSent);
+            if let ExchangeRequest::SetUp { attempt, .. } = request {
+                self.calls.attempt_lost(self.now, call_id, *attempt, AttemptProgress::NeverSent);
             }
             return;
         };
-        let goes = link.session.send(id, say);
+        let accepted = link.session.send(call_id, request);
         let conn = link.conn;
-        if let (ExchangeRequest::SetUp { attempt, .. }, false) = (say, goes) {
-            self.calls.attempt_lost(self.now, id, *attempt, AttemptProgress::NeverSent);
+        if let (ExchangeRequest::SetUp { attempt, .. }, false) = (request, accepted) {
+            self.calls.attempt_lost(self.now, call_id, *attempt, AttemptProgress::NeverSent);
         }
         match conn {
-            Some(token) => {
-                self.touched.insert(token);
-                if matches!(say, ExchangeRequest::SetUp { .. }) && self.is_up(token) {
-                    self.listen_for(to);
+            Some(conn_id) => {
+                self.needs_flush.insert(conn_id);
+                if matches!(request, ExchangeRequest::SetUp { .. }) && self.is_connected(conn_id) {
+                    self.expect_reply(to);
                 }
             }
-            None => self.connect(to),
+            None => self.connect_exchange(to),
         }
     }
 }
--- a/dillhold/src/engine/failure_detector.rs
+++ b/dillhold/src/engine/failure_detector.rs
@@ -1,95 +1,95 @@
-//! Tells an exchange that has vanished from one that is only quiet, without word of discovery.
+//! Detects exchanges that have vanished, independently of discovery.
 //!
-//! A machine that vanishes or is cut off says nothing: its open connections stay open and silent, and new ones never
-//! come up. Calls that stand on it are over, and nobody says so. An exchange is therefore watched while calls stand
-//! on it. After a silence it is checked with a connection of its own, again and again; when nothing has come of that
-//! for [`DEAD_AFTER`], the exchange is taken for dead.
+//! A machine that vanishes or is cut off sends nothing: its open connections stay open and silent, and new ones are
+//! never established. The calls standing on it are over, but nothing reports their end. An exchange is therefore
+//! watched while calls stand on it. After a silence it is checked repeatedly over a separate connection; when no sign
+//! of life follows within [`DEAD_AFTER`], the exchange is declared dead.
 
 use pitchgw::interface::Nanos;
 
 use crate::clock::MS;
 
-/// An exchange that has given no sign of life for so long is checked.
-const CHECK_AFTER: Nanos = 2_000 * MS;
-/// Time from one look at an exchange under suspicion to the next.
-pub const LOOK_AGAIN: Nanos = 250 * MS;
-/// A connection that checks an exchange may take so long to come up. Some come up late, by up to a second.
+/// Silence after which an exchange is checked.
+const SUSPECT_AFTER: Nanos = 2_000 * MS;
+/// Interval between checks of a suspect exchange.
+pub const CHECK_INTERVAL: Nanos = 250 * MS;
+/// Timeout for establishing a liveness check connection. Some take up to a second.
 pub const CHECK_TIMEOUT: Nanos = 1_000 * MS;
-/// An exchange that has given no sign of life for so long is dead. A caller has to be told within 8 s of the end of
-/// its call, which may have come right after the last sign; what is left is for a release that has to wait for a
-/// connection, and for this process being late.
+/// Silence after which an exchange is dead. A caller has to be notified within 8 s of the end of its call, which may
+/// follow directly on the last sign of life; the remaining time is for a release that waits for a connection and for
+/// delays of this process.
 const DEAD_AFTER: Nanos = 7_250 * MS;
-/// What comes on a new connection within this time, before anything was asked there, is a greeting.
-const GREETING_WITHIN: Nanos = 500 * MS;
+/// Input within this time on a new connection, before anything was requested there, is a greeting.
+const GREETING_WINDOW: Nanos = 500 * MS;
 
-/// What is to be thought of an exchange.
+/// The state of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It gave a sign of life lately. The next look is due then.
+pub enum Liveness {
+    /// It gave a recent sign of life. The next check is due at this time.
     Alive(Nanos),
-    /// It has been silent for long enough to be checked. The next look is due then.
+    /// It has been silent for long enough to be checked. The next check is due at this time.
     Suspect(Nanos),
-    /// It is taken for dead.
+    /// It is considered dead.
     Dead,
 }
 
-/// The signs of life of one exchange.
+/// Tracks the signs of life of one exchange.
 #[derive(Debug)]
 pub struct FailureDetector {
-    last_sign: Nanos,
-    /// It says something on each new connection unasked, so a connection on which it does not proves nothing.
-    greets: bool,
-    /// A look is among the deadlines.
-    pub watching: bool,
+    last_heard_at: Nanos,
+    /// It sends a message on each new connection unprompted, so that establishing a connection alone proves nothing.
+    sends_greeting: bool,
+    /// Whether a check is among the deadlines.
+    pub check_scheduled: bool,
 }
 
 impl FailureDetector {
-    /// A detector of an exchange that was heard of now.
+    /// Creates a detector for an exchange that gave a sign of life at `now`.
     pub fn new(now: Nanos) -> FailureDetector {
-        FailureDetector { last_sign: now, greets: false, watching: false }
+        FailureDetector { last_heard_at: now, sends_greeting: false, check_scheduled: false }
     }
 
-    /// Bytes came from the exchange.
-    pub fn heard(&mut self, now: Nanos) {
-        self.last_sign = now;
+    /// Records input from the exchange.
+    pub fn record_input(&mut self, now: Nanos) {
+        self.last_heard_at = now;
     }
 
-    /// Bytes came on a connection that came up at `up_at`, and nothing had been asked there.
-    pub fn heard_unasked(&mut self, now: Nanos, up_at: Nanos) {
-        if !self.greets && now < up_at + GREETING_WITHIN {
+    /// Records input on a connection established at `connected_at` on which nothing had been requested.
+    pub fn record_unsolicited_input(&mut self, now: Nanos, connected_at: Nanos) {
+        if !self.sends_greeting && now < connected_at + GREETING_WINDOW {
             tracing::debug!("exchange greets new connections");
-            self.greets = true;
+            self.sends_greeting = true;
         }
-        self.heard(now);
+        self.record_input(now);
     }
 
-    /// A connection to the exchange came up. Of one that greets the greeting is waited for: a machine may take
-    /// connections in while the process behind them is gone or stands still.
+    /// Records an established connection. From an exchange that greets, the greeting is required as a sign of life: a
+    /// machine may accept connections while its process is gone or suspended.
     pub fn connected(&mut self, now: Nanos) {
-        if !self.greets {
-            self.last_sign = now;
+        if !self.sends_greeting {
+            self.last_heard_at = now;
         }
     }
 
-    /// Whether the exchange says something on each new connection unasked.
-    pub fn greets(&self) -> bool {
-        self.greets
+    /// Whether the exchange sends a message on each new connection unprompted.
+    pub fn sends_greeting(&self) -> bool {
+        self.sends_greeting
     }
 
-    /// How long nothing has come.
+    /// The time since the last sign of life.
     pub fn silent_for(&self, now: Nanos) -> Nanos {
-        now.saturating_sub(self.last_sign)
+        now.saturating_sub(self.last_heard_at)
     }
 
-    /// What is to be thought of the exchange now.
-    pub fn verdict(&self, now: Nanos) -> Verdict {
+    /// The state of the exchange at `now`.
+    pub fn liveness(&self, now: Nanos) -> Liveness {
         let silent = self.silent_for(now);
         if silent >= DEAD_AFTER {
-            Verdict::Dead
-        } else if silent >= CHECK_AFTER {
-            Verdict::Suspect((now + LOOK_AGAIN).min(self.last_sign + DEAD_AFTER))
+            Liveness::Dead
+        } else if silent >= SUSPECT_AFTER {
+            Liveness::Suspect((now + CHECK_INTERVAL).min(self.last_heard_at + DEAD_AFTER))
         } else {
-            Verdict::Alive(self.last_sign + CHECK_AFTER)
+            Liveness::Alive(self.last_heard_at + SUSPECT_AFTER)
         }
     }
 }
@@ -99,25 +99,25 @@
     use super::*;
 
     #[test]
-    fn silence_brings_suspicion_and_then_the_verdict() {
+    fn silent_exchange_becomes_suspect_then_dead() {
         let mut detector = FailureDetector::new(0);
-        assert_eq!(detector.verdict(0), Verdict::Alive(CHECK_AFTER));
-        assert_eq!(detector.verdict(CHECK_AFTER), Verdict::Suspect(CHECK_AFTER + LOOK_AGAIN));
+        assert_eq!(detector.liveness(0), Liveness::Alive(SUSPECT_AFTER));
+        assert_eq!(detector.liveness(SUSPECT_AFTER), Liveness::Suspect(SUSPECT_AFTER + CHECK_INTERVAL));
         let last = DEAD_AFTER - MS;
-        assert_eq!(detector.verdict(last), Verdict::Suspect(DEAD_AFTER), "no later than it is due");
-        assert_eq!(detector.verdict(DEAD_AFTER), Verdict::Dead);
+        assert_eq!(detector.liveness(last), Liveness::Suspect(DEAD_AFTER), "check due no later than death");
+        assert_eq!(detector.liveness(DEAD_AFTER), Liveness::Dead);
         detector.connected(last);
-        assert_eq!(detector.verdict(DEAD_AFTER), Verdict::Alive(last + CHECK_AFTER));
+        assert_eq!(detector.liveness(DEAD_AFTER), Liveness::Alive(last + SUSPECT_AFTER));
     }
 
     #[test]
-    fn where_an_exchange_greets_a_connection_alone_is_no_sign_of_life() {
+    fn connection_without_greeting_is_no_sign_of_life_if_exchange_greets() {
         let mut detector = FailureDetector::new(0);
-        detector.heard_unasked(GREETING_WITHIN, 0);
-        detector.connected(CHECK_AFTER);
-        assert_eq!(detector.silent_for(CHECK_AFTER), 0, "what came was too late to be a greeting");
-        detector.heard_unasked(CHECK_AFTER, CHECK_AFTER);
+        detector.record_unsolicited_input(GREETING_WINDOW, 0);
+        detector.connected(SUSPECT_AFTER);
+        assert_eq!(detector.silent_for(SUSPECT_AFTER), 0, "input after the greeting window is no greeting");
+        detector.record_unsolicited_input(SUSPECT_AFTER, SUSPECT_AFTER);
         detector.connected(DEAD_AFTER);
-        assert_eq!(detector.silent_for(DEAD_AFTER), DEAD_AFTER - CHECK_AFTER);
+        assert_eq!(detector.silent_for(DEAD_AFTER), DEAD_AFTER - SUSPECT_AFTER);
     }
 }
--- a/dillhold/src/engine/journal.rs
+++ b/dillhold/src/engine/journal.rs
@@ -1,4 +1,4 @@
-//! The connection to the journal service: carries out what [`super::discovery`] decides.
+//! The client of the journal service: sends the requests that [`super::discovery`] schedules.
 
 use std::net::SocketAddr;
 
@@ -9,88 +9,89 @@
 use crate::directory;
 use crate::session::journal::JournalSession;
 
-/// The journal service with the connection to it.
-pub struct Feed {
+/// The journal service and the connection to it.
+pub struct JournalClient {
     discovery: Discovery,
     conn: Option<ConnId>,
 }
 
-impl Feed {
-    /// A service that was not asked yet.
-    pub fn new(address: SocketAddr) -> Feed {
-        Feed { discovery: Discovery::new(address), conn: None }
+impl JournalClient {
+    /// Creates a client that has sent no request yet.
+    pub fn new(address: SocketAddr) -> JournalClient {
+        JournalClient { discovery: Discovery::new(address), conn: None }
     }
 }
 
 impl Engine {
-    pub(super) fn ask_journal(&mut self) {
-        if self.feed.discovery.is_asking() {
+    pub(super) fn poll_journal(&mut self) {
+        if self.journal_client.discovery.is_awaiting_answer() {
             return;
         }
-        let host = self.feed.discovery.address();
-        if self.feed.conn.is_none() {
-            self.feed.conn = self.dial(host, Peer::Journal(JournalSession::default()));
+        let address = self.journal_client.discovery.address();
+        if self.journal_client.conn.is_none() {
+            self.journal_client.conn = self.connect(address, Peer::Journal(JournalSession::default()));
         }
-        let after = self.calls.directory.position;
-        let conn = self.feed.conn.and_then(|token| self.conns.get_mut(&token));
-        let Some((token, Peer::Journal(journal))) = self.feed.conn.zip(conn.map(|c| &mut c.peer)) else {
-            return self.call_failed(Failure::NotConnected);
+        let position = self.calls.directory.position;
+        let conn = self.journal_client.conn.and_then(|conn_id| self.conns.get_mut(&conn_id));
+        let Some((conn_id, Peer::Journal(journal))) = self.journal_client.conn.zip(conn.map(|c| &mut c.peer))
+        else {
+            return self.journal_request_failed(Failure::NotConnected);
         };
-        journal.send_poll(after, host);
-        self.touched.insert(token);
-        let overdue_at = self.feed.discovery.asked(self.now);
-        self.calls.deadlines.add(overdue_at, Deadline::Engine(EngineDeadline::JournalTimeout(token)));
+        journal.send_poll(position, address);
+        self.needs_flush.insert(conn_id);
+        let overdue_at = self.journal_client.discovery.request_sent(self.now);
+        self.calls.deadlines.add(overdue_at, Deadline::Engine(EngineDeadline::JournalTimeout(conn_id)));
     }
 
-    pub(super) fn journal_answered(&mut self, answer: directory::JournalAnswer, kept: bool) {
+    pub(super) fn handle_journal_answer(&mut self, answer: directory::JournalAnswer, keep_connection: bool) {
         self.calls.counters.increment("taken journal answers");
         let has_news = !answer.entries.is_empty();
-        let taken = self.calls.directory.apply(answer);
-        let is_complete = taken.is_ok();
+        let applied = self.calls.directory.apply(answer);
+        let is_complete = applied.is_ok();
         if !is_complete {
             self.calls.counters.increment("errors journal events missing");
         }
-        let news = taken.unwrap_or_else(|missing| missing.0);
-        self.calls.apply_directory_update(self.now, news);
-        if !kept {
-            let token = self.feed.conn.take();
-            token.and_then(|token| self.forget(token));
+        let update = applied.unwrap_or_else(|missing| missing.0);
+        self.calls.apply_directory_update(self.now, update);
+        if !keep_connection {
+            let conn_id = self.journal_client.conn.take();
+            conn_id.and_then(|conn_id| self.remove_conn(conn_id));
         }
-        let pause = self.feed.discovery.answered(self.now, has_news, is_complete);
-        self.calls.deadlines.add(self.now + pause, Deadline::Engine(EngineDeadline::PollJournal));
+        let delay = self.journal_client.discovery.answer_received(self.now, has_news, is_complete);
+        self.calls.deadlines.add(self.now + delay, Deadline::Engine(EngineDeadline::PollJournal));
     }
 
-    /// The connection to the journal is gone, or did not come up.
-    pub(super) fn journal_lost(&mut self, connect_failed: bool) {
-        self.feed.conn = None;
-        let overdue = self.feed.discovery.is_overdue(self.now);
-        self.call_failed(match (connect_failed, overdue) {
+    /// Handles a journal connection that was lost or could not be established.
+    pub(super) fn journal_disconnected(&mut self, connect_failed: bool) {
+        self.journal_client.conn = None;
+        let overdue = self.journal_client.discovery.is_overdue(self.now);
+        self.journal_request_failed(match (connect_failed, overdue) {
             (true, _) => Failure::NotConnected,
             (_, true) => Failure::Overdue,
             _ => Failure::BrokenOff,
         });
     }
 
-    fn call_failed(&mut self, failure: Failure) {
-        let pause = self.feed.discovery.failed(failure);
-        self.calls.deadlines.add(self.now + pause, Deadline::Engine(EngineDeadline::PollJournal));
+    fn journal_request_failed(&mut self, failure: Failure) {
+        let delay = self.journal_client.discovery.request_failed(failure);
+        self.calls.deadlines.add(self.now + delay, Deadline::Engine(EngineDeadline::PollJournal));
     }
 
-    /// The journal must have answered by now. One that is silent and stays open is left: its events are asked
-    /// for again before they count as told.
-    pub(super) fn journal_due(&mut self, token: ConnId) {
-        if self.feed.discovery.is_overdue(self.now) && self.feed.conn == Some(token) {
-            self.close(token, CloseReason::JournalSilent);
+    /// Handles the timeout of a request. A connection that stays open and silent is closed, so that the events are
+    /// requested again before they count as delivered.
+    pub(super) fn handle_journal_timeout(&mut self, conn_id: ConnId) {
+        if self.journal_client.discovery.is_overdue(self.now) && self.journal_client.conn == Some(conn_id) {
+            self.close(conn_id, CloseReason::JournalSilent);
         }
     }
 
-    /// Goes on with the journal at another address at once, from the last event known.
-    pub(super) fn move_journal(&mut self, address: SocketAddr) {
-        if address == self.feed.discovery.address() {
+    /// Requests the journal at another address at once, from the last event known.
+    pub(super) fn change_journal_address(&mut self, address: SocketAddr) {
+        if address == self.journal_client.discovery.address() {
             return;
         }
-        self.feed.conn.take().and_then(|token| self.forget(token));
-        self.feed.discovery.moved(address);
-        self.ask_journal();
+        self.journal_client.conn.take().and_then(|conn_id| self.remove_conn(conn_id));
+        self.journal_client.discovery.set_address(address);
+        self.poll_journal();
     }
 }
--- a/dillhold/src/engine/mod.rs
+++ b/dillhold/src/engine/mod.rs
@@ -1,18 +1,18 @@
-//! A whole call controller without a socket and without the system's clock.
+//! The call controller without I/O: it uses neither sockets nor the system clock.
 //!
-//! [`Engine`] is fed the time and what happened to connections, which it knows as numbers, and gives out what is
-//! to be done with sockets as [`Output`]s. Everything about connections is settled here: who is let in and who
-//! makes room, what silence and half messages mean, when an exchange is dialled again and the journal asked, how
-//! far an attempt had come when its connection failed, who is shed when memory is short, and the order of the
-//! end. Bytes are read straight into the sessions' buffers ([`Engine::read_buffer`], [`Engine::bytes_read`]) and written
-//! straight from them ([`Engine::pending_bytes`], [`Engine::bytes_written`]).
+//! [`Engine`] is given the time and connection events, and returns socket operations as [`Output`]s; connections
+//! are identified by [`ConnId`]. All connection policy lives here: admission and eviction of callers, timeouts for
+//! silence and incomplete messages, reconnects to exchanges, requests to the journal, how far an attempt had
+//! progressed when its connection failed, closing connections when memory is short, and the shutdown sequence.
+//! Bytes are read directly into the sessions' buffers ([`Engine::read_buffer`], [`Engine::bytes_read`]) and written
+//! directly from them ([`Engine::pending_bytes`], [`Engine::bytes_written`]).
 //!
-//! One turn of whoever embeds it:
+//! The driver runs turns:
 //!
-//! 1. [`Engine::begin_turn`] with the time; then what happened, each by its own call;
-//! 2. [`Engine::handle_deadlines`], for what is due;
-//! 3. until [`Engine::is_turn_complete`]: [`Engine::run_commands`], then all of [`Engine::poll_output`], then for each of
-//!    [`Engine::poll_write`] what can be written, and [`Engine::flushed`];
+//! 1. [`Engine::begin_turn`] with the time, then one call for each event;
+//! 2. [`Engine::handle_deadlines`];
+//! 3. until [`Engine::is_turn_complete`]: [`Engine::run_commands`], then [`Engine::poll_output`] until it is empty,
+//!    then for each connection of [`Engine::poll_write`] write what the socket takes and call [`Engine::flushed`];
 //! 4. [`Engine::end_turn`].
 
 mod callers;
@@ -42,108 +42,108 @@
 use crate::session::{ReadBuffer, WriteBuffer};
 use callers::Callers;
 use close_reason::CloseReason;
-use exchanges::Link;
-use journal::Feed;
-use liveness::Check;
+use exchanges::ExchangeLink;
+use journal::JournalClient;
+use liveness::LivenessCheck;
 use shutdown::{Phase, Shutdown};
 
-/// A connection whose writing side was closed is read on for so long at the most, so that what was written arrives.
-const FINISH_WITHIN: Nanos = 1_000 * MS;
-/// Bytes that may wait for one connection: past the first no caller is read from, past the second it is closed.
-/// All callers together stay within the memory that the program may have.
-const SLOW: [usize; 2] = [32 * 1024, 256 * 1024];
+/// How long a connection is still read after its writing side was closed, so that the last bytes written arrive.
+const WRITE_SHUTDOWN_TIMEOUT: Nanos = 1_000 * MS;
+/// Unsent bytes above which a caller's connection is not read any more.
+const PAUSE_READ_BYTES: usize = 32 * 1024;
+/// Unsent bytes above which a connection is closed. All callers together are limited by the memory bound.
+const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
-/// A connection. Numbers are never used again.
+/// Identifies a connection. Ids are never reused.
 pub type ConnId = u64;
-/// The first number of a connection; those below are free for whoever embeds the engine.
+/// The first connection id; the driver may use lower numbers for its own purposes.
 pub const FIRST_CONN_ID: ConnId = 16;
 
-/// What is to be done with sockets, in order.
+/// A socket operation for the driver. Operations are carried out in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Connect. [`Engine::connected`] or [`Engine::connect_failed`] tells what came of it.
+    /// Open a connection; the result is reported by [`Engine::connected`] or [`Engine::connect_failed`].
     Connect {
-        /// The number that the connection has from now on.
+        /// The id of the new connection.
         conn: ConnId,
-        /// Where to.
+        /// The remote address.
         to: SocketAddr,
     },
-    /// Close at once; nothing more is told of this connection.
+    /// Close the connection at once. No further events are reported for it.
     Close(ConnId),
-    /// Close the writing side. [`Engine::read_closed`] tells when the other side has closed too.
+    /// Close the writing side. [`Engine::read_closed`] reports when the peer has closed its side too.
     ShutdownWrite(ConnId),
-    /// Take callers at this address, and no more at another one.
+    /// Accept callers at this address, and at no other.
     Listen(SocketAddr),
-    /// Take in the callers that wait, and no more after these.
+    /// Accept the callers in the backlog, then close the listener.
     StopListening,
-    /// The end: nothing is left to be done.
+    /// Leave the event loop: the shutdown is complete.
     Stop,
 }
 
-/// What a connection is to be watched for.
+/// The readiness events that a connection needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// What comes is read.
+    /// The connection is to be read.
     pub readable: bool,
-    /// Something waits to be written.
+    /// Bytes are waiting to be written.
     pub writable: bool,
 }
 
-/// Who is at the other end.
+/// The remote end of a connection.
 enum Peer {
-    /// Callers.
+    /// Callers; several may share one connection.
     Caller(CallerSession),
-    /// An exchange; its session is with its link.
+    /// An exchange. The session is kept in its [`ExchangeLink`], which outlives the connection.
     Exchange(ExchangeId),
-    /// An exchange, on a connection that only checks whether it lives.
-    Check(Check),
+    /// An exchange, on a connection that is only used for liveness checks.
+    Check(LivenessCheck),
     /// The journal service.
     Journal(JournalSession),
 }
 
 struct Conn {
     peer: Peer,
-    /// It is not up yet.
+    /// Not established yet.
     connecting: bool,
-    /// The other side writes no more.
-    ended: bool,
-    /// What it sends cannot be read on: it is closed once what it was answered has been written.
+    /// The peer has closed its writing side.
+    read_closed: bool,
+    /// The input cannot be parsed any further: the connection is closed once pending answers are written.
     unreadable: bool,
-    /// Its writing side is closed; what still comes is dropped.
-    finishing: bool,
-    /// When it was opened, and when bytes last came.
-    opened: Nanos,
-    read: Nanos,
-    /// Bytes that its buffers take, as last counted.
-    held: usize,
+    /// Our writing side is closed; further input is discarded.
+    write_closed: bool,
+    opened_at: Nanos,
+    last_read_at: Nanos,
+    /// Size of its buffers, as last counted.
+    buffer_bytes: usize,
 }
 
-/// A call controller. See the module's description for how it is driven.
+/// The call controller; the module documentation describes how to drive it.
 pub struct Engine {
     now: Nanos,
     calls: Calls,
     bounds: Bounds,
     conns: BTreeMap<ConnId, Conn>,
-    next_conn: ConnId,
-    /// Connections that may have something to write, or are to be watched for something else.
-    touched: BTreeSet<ConnId>,
+    next_conn_id: ConnId,
+    /// Connections that may have bytes to write or whose [`Interest`] may have changed.
+    needs_flush: BTreeSet<ConnId>,
     outputs: VecDeque<Output>,
-    /// Bytes that the buffers of all connections take.
-    held: usize,
+    /// Size of the buffers of all connections.
+    buffer_bytes: usize,
     callers: Callers,
-    links: BTreeMap<ExchangeId, Link>,
-    feed: Feed,
-    listen: SocketAddr,
+    links: BTreeMap<ExchangeId, ExchangeLink>,
+    journal_client: JournalClient,
+    listen_address: SocketAddr,
     shutdown: Shutdown,
 }
 
 impl Engine {
-    /// A controller at its start: asks to listen, dials the exchanges that are known and asks the journal.
-    pub fn new(now: Nanos, config: Config, told: ControllerSettings) -> Result<Engine, String> {
+    /// Creates the controller: starts listening, connects to the known exchanges and requests the journal.
+    pub fn new(now: Nanos, config: Config, settings: ControllerSettings) -> Result<Engine, String> {
         let bounds = config.limits.bounds();
-        let list = Directory::new(&config.settings);
+        let directory = Directory::new(&config.settings);
         let mut calls =
-            Calls::new(told, bounds, list).map_err(|e| format!("configuration: settings: {e}"))?;
+            Calls::new(settings, bounds, directory).map_err(|e| format!("configuration: settings: {e}"))?;
         let known = calls.directory.apply(config.known);
         calls.apply_directory_update(now, known.unwrap_or_else(|missing| missing.0));
         let mut engine = Engine {
@@ -151,161 +151,165 @@
             calls,
             bounds,
             conns: BTreeMap::new(),
-            next_conn: FIRST_CONN_ID,
-            touched: BTreeSet::new(),
+            next_conn_id: FIRST_CONN_ID,
+            needs_flush: BTreeSet::new(),
             outputs: VecDeque::from([Output::Listen(config.listen)]),
-            held: 0,
+            buffer_bytes: 0,
             callers: Callers::default(),
             links: BTreeMap::new(),
-            feed: Feed::new(config.journal),
-            listen: config.listen,
+            journal_client: JournalClient::new(config.journal),
+            listen_address: config.listen,
             shutdown: Shutdown::new(),
         };
-        engine.ask_journal();
+        engine.poll_journal();
         engine.run_commands();
         Ok(engine)
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // The turn
-    // -----------------------------------------------------------------------------------------------------
-
-    /// A turn begins. All that happens within it happens at this time.
+    /// Begins a turn. Everything in it happens at time `now`.
     pub fn begin_turn(&mut self, now: Nanos) {
         self.now = now;
     }
 
-    /// Turns that are closer together than this tell the module more often than it was promised.
+    /// The shortest interval between turns that the decision module is promised.
     pub fn tick(&self) -> Nanos {
         self.calls.settings().module.tick
     }
 
-    /// When something is due next.
+    /// The time of the earliest deadline.
     pub fn next_deadline(&self) -> Option<Nanos> {
         self.calls.deadlines.earliest()
     }
 
-    /// Carries out what is due. What has come in is told before: after a pause of this process an answer must
-    /// not lose against a time-out that only looks overdue.
+    /// Handles the deadlines that have passed. Input must be reported before: after this process was suspended, an
+    /// answer that has arrived takes precedence over its expired timeout.
     pub fn handle_deadlines(&mut self) {
-        for due in self.calls.deadlines.take_expired(self.now) {
-            match due {
-                Deadline::Engine(due) => self.link_due(due),
-                due => self.calls.handle_deadline(self.now, due),
+        for deadline in self.calls.deadlines.take_expired(self.now) {
+            match deadline {
+                Deadline::Engine(deadline) => self.handle_engine_deadline(deadline),
+                deadline => self.calls.handle_deadline(self.now, deadline),
             }
         }
     }
 
-    /// The next thing to be done with a socket.
+    /// The next socket operation.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The next connection that may have something to write. [`Engine::flushed`] has to follow.
+    /// The next connection to write to. The driver must call [`Engine::flushed`] for it.
     pub fn poll_write(&mut self) -> Option<ConnId> {
-        self.touched.pop_first()
+        self.needs_flush.pop_first()
     }
 
-    /// Whether nothing is left to be done in this turn. What the writing has failed is carried out and written
-    /// in the same turn too: nothing else may wake it.
+    /// Whether nothing is left to do in this turn. Consequences of failed writes are handled in the same turn as
+    /// well, since no later event may start another one.
     pub fn is_turn_complete(&self) -> bool {
-        self.calls.is_idle() && self.outputs.is_empty() && self.touched.is_empty()
+        self.calls.is_idle() && self.outputs.is_empty() && self.needs_flush.is_empty()
     }
 
-    /// A turn ends. After the signal to end the last one gives [`Output::Stop`].
+    /// Ends the turn. Emits [`Output::Stop`] once a shutdown is complete.
     pub fn end_turn(&mut self) {
-        if self.has_left() {
+        if self.has_finished_leaving() {
             self.stop();
         }
     }
 
-    /// Whether this configuration can take the place of the present one while calls are open and stand.
-    pub fn can_reconfigure(&self, told: &ControllerSettings) -> bool {
-        self.calls.can_reconfigure(told)
+    /// Whether this configuration can replace the current one while calls are open or stand.
+    pub fn can_reconfigure(&self, settings: &ControllerSettings) -> bool {
+        self.calls.can_reconfigure(settings)
     }
 
-    /// Goes on with another configuration, which [`Engine::can_reconfigure`] has let through. Calls and connections stay.
-    pub fn reconfigure(&mut self, config: Config, told: ControllerSettings) {
-        let listening = matches!(self.shutdown.phase(), Phase::Serving | Phase::Draining);
-        if config.listen != self.listen && listening {
-            self.listen = config.listen;
+    /// Applies a configuration that [`Engine::can_reconfigure`] accepts. Calls and connections are kept.
+    pub fn reconfigure(&mut self, config: Config, settings: ControllerSettings) {
+        let listening = matches!(self.shutdown.phase(), Phase::Serving | Phase::GracePeriod);
+        if config.listen != self.listen_address && listening {
+            self.listen_address = config.listen;
             self.outputs.push_back(Output::Listen(config.listen));
         }
         self.bounds = config.limits.bounds();
-        self.calls.reconfigure(told, self.bounds, &config.settings);
+        self.calls.reconfigure(settings, self.bounds, &config.settings);
         let known = self.calls.directory.apply(config.known);
         self.calls.apply_directory_update(self.now, known.unwrap_or_else(|missing| missing.0));
-        self.move_journal(config.journal);
+        self.change_journal_address(config.journal);
         tracing::info!("configuration applied");
         self.calls.counters.increment("taken configurations");
     }
 
-    /// Measures trunk groups from now on, as the operator has it.
+    /// Starts measuring trunk groups in the intervals of `calendar`.
     pub fn start_measuring(&mut self, calendar: Calendar) {
         self.calls.start_measuring(self.now, calendar);
     }
 
-    /// Closes the running interval before it is over, and measures no more.
+    /// Closes the current interval early and stops measuring.
     pub fn close_interval(&mut self) {
         self.calls.close_intervals(self.now, true);
     }
 
-    /// The next closed interval of the measuring.
+    /// The next closed measuring interval.
     pub fn poll_interval(&mut self) -> Option<Interval> {
         self.calls.intervals.pop_front()
     }
 
-    /// All counts so far.
+    /// All counters.
     pub fn counters(&self) -> &Counters {
         &self.calls.counters
     }
 
-    /// Counts an error of the sockets'.
+    /// Counts a socket error.
     pub fn count_error(&mut self, name: &'static str) {
         self.calls.counters.increment(name);
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // What happens to connections
-    // -----------------------------------------------------------------------------------------------------
-
-    fn add(&mut self, peer: Peer, connecting: bool) -> ConnId {
-        let token = self.next_conn;
-        self.next_conn += 1;
-        let (opened, read) = (self.now, self.now);
-        let (ended, unreadable, finishing, held) = (false, false, false, 0);
-        self.conns.insert(token, Conn { peer, connecting, ended, unreadable, finishing, opened, read, held });
-        token
+    fn add_conn(&mut self, peer: Peer, connecting: bool) -> ConnId {
+        let conn_id = self.next_conn_id;
+        self.next_conn_id += 1;
+        let (opened_at, last_read_at) = (self.now, self.now);
+        let (read_closed, unreadable, write_closed, buffer_bytes) = (false, false, false, 0);
+        self.conns.insert(
+            conn_id,
+            Conn {
+                peer,
+                connecting,
+                read_closed,
+                unreadable,
+                write_closed,
+                opened_at,
+                last_read_at,
+                buffer_bytes,
+            },
+        );
+        conn_id
     }
 
-    /// Starts a connection, if there is room for one more.
-    fn dial(&mut self, to: SocketAddr, peer: Peer) -> Option<ConnId> {
-        self.dial_within(to, peer, self.calls.settings().connect_timeout)
+    /// Opens a connection with the configured timeout; `None` at the connection limit.
+    fn connect(&mut self, to: SocketAddr, peer: Peer) -> Option<ConnId> {
+        self.connect_within(to, peer, self.calls.settings().connect_timeout)
     }
 
-    /// The same, with a time of its own to come up.
-    fn dial_within(&mut self, to: SocketAddr, peer: Peer, timeout: Nanos) -> Option<ConnId> {
+    /// Opens a connection with the given timeout; `None` at the connection limit.
+    fn connect_within(&mut self, to: SocketAddr, peer: Peer, timeout: Nanos) -> Option<ConnId> {
         if self.conns.len() >= self.bounds.max_connections {
             self.calls.counters.increment("errors connections over the limit");
             return None;
         }
-        let conn = self.add(peer, true);
+        let conn = self.add_conn(peer, true);
         self.outputs.push_back(Output::Connect { conn, to });
         self.calls.deadlines.add(self.now + timeout, Deadline::Engine(EngineDeadline::ConnectTimeout(conn)));
         Some(conn)
     }
 
-    fn is_caller(&self, token: ConnId) -> bool {
-        self.conns.get(&token).is_some_and(|c| matches!(c.peer, Peer::Caller(_)))
+    fn is_caller(&self, conn_id: ConnId) -> bool {
+        self.conns.get(&conn_id).is_some_and(|c| matches!(c.peer, Peer::Caller(_)))
     }
 
-    fn is_up(&self, token: ConnId) -> bool {
-        self.conns.get(&token).is_some_and(|c| !c.connecting)
+    fn is_connected(&self, conn_id: ConnId) -> bool {
+        self.conns.get(&conn_id).is_some_and(|c| !c.connecting)
     }
 
-    /// The buffers of a connection.
-    fn buffers(&mut self, token: ConnId) -> Option<(&mut ReadBuffer, &mut WriteBuffer)> {
-        Some(match &mut self.conns.get_mut(&token)?.peer {
+    /// The read and write buffers of a connection.
+    fn buffers(&mut self, conn_id: ConnId) -> Option<(&mut ReadBuffer, &mut WriteBuffer)> {
+        Some(match &mut self.conns.get_mut(&conn_id)?.peer {
             Peer::Caller(caller) => (&mut caller.read_buffer, &mut caller.write_buffer),
             Peer::Journal(journal) => (&mut journal.read_buffer, &mut journal.write_buffer),
             Peer::Check(check) => (&mut check.session.read_buffer, &mut check.session.write_buffer),
@@ -316,98 +320,99 @@
         })
     }
 
-    /// A connection that was dialled is up.
-    pub fn connected(&mut self, token: ConnId) {
-        let Some(conn) = self.conns.get_mut(&token) else { return };
+    /// Reports that an outgoing connection is established.
+    pub fn connected(&mut self, conn_id: ConnId) {
+        let Some(conn) = self.conns.get_mut(&conn_id) else { return };
         conn.connecting = false;
-        self.touched.insert(token);
+        self.needs_flush.insert(conn_id);
         match conn.peer {
-            Peer::Exchange(id) => self.exchange_up(id),
-            Peer::Check(_) => self.check_up(token),
+            Peer::Exchange(id) => self.exchange_connected(id),
+            Peer::Check(_) => self.check_connected(conn_id),
             Peer::Caller(_) | Peer::Journal(_) => {}
         }
     }
 
-    /// A connection that was dialled did not come up. `refused`: nothing listens there, so nothing ran.
-    pub fn connect_failed(&mut self, token: ConnId, refused: bool) {
-        self.fail(token, true, refused);
+    /// Reports that an outgoing connection could not be established. `refused`: the port is closed, so no process
+    /// was listening.
+    pub fn connect_failed(&mut self, conn_id: ConnId, refused: bool) {
+        self.handle_disconnect(conn_id, true, refused);
     }
 
-    /// Closes a connection of the engine's own accord.
-    fn close(&mut self, token: ConnId, reason: CloseReason) {
-        tracing::info!(conn = token, ?reason, "connection closed");
+    /// Closes a connection on the engine's own decision.
+    fn close(&mut self, conn_id: ConnId, reason: CloseReason) {
+        tracing::info!(conn = conn_id, ?reason, "connection closed");
         if let Some(name) = reason.counter() {
             self.calls.counters.increment(name);
         }
-        self.connection_lost(token);
+        self.connection_lost(conn_id);
     }
 
-    /// A connection is gone.
-    pub fn connection_lost(&mut self, token: ConnId) {
-        self.fail(token, false, false);
+    /// Reports that a connection is lost.
+    pub fn connection_lost(&mut self, conn_id: ConnId) {
+        self.handle_disconnect(conn_id, false, false);
     }
 
-    /// Both directions of a connection are closed. One that only waited to be written to is gone.
-    pub fn peer_closed(&mut self, token: ConnId) {
-        if self.conns.get(&token).is_some_and(|c| c.ended) {
-            self.connection_lost(token);
+    /// Reports that both directions of a connection are closed. If it was only kept to be written to, it is lost.
+    pub fn peer_closed(&mut self, conn_id: ConnId) {
+        if self.conns.get(&conn_id).is_some_and(|c| c.read_closed) {
+            self.connection_lost(conn_id);
         }
     }
 
-    /// A connection can be written to again.
-    pub fn writable(&mut self, token: ConnId) {
-        if self.is_up(token) {
-            self.touched.insert(token);
+    /// Reports that a connection can be written to again.
+    pub fn writable(&mut self, conn_id: ConnId) {
+        if self.is_connected(conn_id) {
+            self.needs_flush.insert(conn_id);
         }
     }
 
-    /// Where the next bytes that come on a connection go; `None`: it is not read from any more.
-    pub fn read_buffer(&mut self, token: ConnId) -> Option<&mut [u8]> {
-        self.conns.get(&token).filter(|c| !c.ended && !c.unreadable && !c.connecting)?;
-        Some(self.buffers(token)?.0.unfilled())
+    /// The buffer for the next input of a connection; `None` if it is not to be read any more.
+    pub fn read_buffer(&mut self, conn_id: ConnId) -> Option<&mut [u8]> {
+        self.conns.get(&conn_id).filter(|c| !c.read_closed && !c.unreadable && !c.connecting)?;
+        Some(self.buffers(conn_id)?.0.unfilled())
     }
 
-    /// So many bytes came and were put there.
-    pub fn bytes_read(&mut self, token: ConnId, count: usize) {
+    /// Reports that `count` bytes were read into [`Engine::read_buffer`].
+    pub fn bytes_read(&mut self, conn_id: ConnId, count: usize) {
         let now = self.now;
-        let Some((read_buffer, _)) = self.buffers(token) else { return };
+        let Some((read_buffer, _)) = self.buffers(conn_id) else { return };
         read_buffer.advance(count);
-        if let Some(conn) = self.conns.get_mut(&token) {
-            conn.read = now;
-            if conn.finishing {
-                return self.drop_input(token);
+        if let Some(conn) = self.conns.get_mut(&conn_id) {
+            conn.last_read_at = now;
+            if conn.write_closed {
+                return self.discard_input(conn_id);
             }
         }
-        self.touched.insert(token);
-        // A panic costs the connection that it came from. What a caller was answered before goes out first; to
-        // an exchange that is not understood any more nothing new is sent.
-        if catch_unwind(AssertUnwindSafe(|| self.take_in(token))).unwrap_or(false) {
+        self.needs_flush.insert(conn_id);
+        // A panic only closes the connection whose input caused it. A caller's pending answers are written first;
+        // nothing more is sent to an exchange whose messages cannot be parsed.
+        if catch_unwind(AssertUnwindSafe(|| self.process_input(conn_id))).unwrap_or(false) {
             return;
         }
-        match self.conns.get_mut(&token) {
+        match self.conns.get_mut(&conn_id) {
             Some(conn) if matches!(conn.peer, Peer::Caller(_)) => {
                 conn.unreadable = true;
-                tracing::info!(conn = token, "caller cannot be read: closed once it is answered");
+                tracing::info!(conn = conn_id, "unreadable input from caller: closing once it is answered");
                 self.calls.counters.increment("errors unreadable");
             }
-            _ => self.close(token, CloseReason::Unreadable),
+            _ => self.close(conn_id, CloseReason::Unreadable),
         }
     }
 
-    /// Lets a session take in what was read; false if its connection has to be closed.
-    fn take_in(&mut self, token: ConnId) -> bool {
-        let Some(conn) = self.conns.get_mut(&token) else { return true };
+    /// Passes input to its session. Returns false if the connection has to be closed.
+    fn process_input(&mut self, conn_id: ConnId) -> bool {
+        let Some(conn) = self.conns.get_mut(&conn_id) else { return true };
         match &mut conn.peer {
-            Peer::Caller(caller) => caller.process_input(self.now, token, &mut self.calls).is_ok(),
+            Peer::Caller(caller) => caller.process_input(self.now, conn_id, &mut self.calls).is_ok(),
             Peer::Exchange(id) => {
                 let id = *id;
-                self.exchange_said(id, token)
+                self.process_exchange_input(id, conn_id)
             }
-            Peer::Check(_) => self.check_said(token),
+            Peer::Check(_) => self.process_check_input(conn_id),
             Peer::Journal(journal) => match journal.process_input() {
                 Ok(None) => true,
                 Ok(Some((answer, kept))) => {
-                    self.journal_answered(answer, kept);
+                    self.handle_journal_answer(answer, kept);
                     true
                 }
                 Err(_) => false,
@@ -415,53 +420,53 @@
         }
     }
 
-    /// The other side writes no more. A caller may still read the answers it is owed, those that follow in this
-    /// turn from what it wrote before included.
-    pub fn read_closed(&mut self, token: ConnId) {
-        match self.conns.get_mut(&token) {
-            Some(conn) if matches!(conn.peer, Peer::Caller(_)) && !conn.finishing => {
-                conn.ended = true;
-                self.touched.insert(token);
+    /// Reports that the peer has closed its writing side. A caller may still read its answers, including those that
+    /// this turn produces from its earlier input.
+    pub fn read_closed(&mut self, conn_id: ConnId) {
+        match self.conns.get_mut(&conn_id) {
+            Some(conn) if matches!(conn.peer, Peer::Caller(_)) && !conn.write_closed => {
+                conn.read_closed = true;
+                self.needs_flush.insert(conn_id);
             }
-            _ => self.connection_lost(token),
+            _ => self.connection_lost(conn_id),
         }
     }
 
-    /// Closes the writing side of a caller's connection, on which nothing is left. It is read on until the caller
-    /// closes too: closed with bytes unread, it would be reset, and what was written last might not arrive.
-    fn finish(&mut self, token: ConnId, reason: CloseReason) {
-        let Some(conn) = self.conns.get_mut(&token) else { return };
-        tracing::info!(conn = token, ?reason, "connection finished");
-        conn.finishing = true;
+    /// Closes the writing side of a caller's connection that is no longer used. It is read until the caller closes
+    /// too: closing a socket with unread input sends a reset, which can discard the last bytes written.
+    fn shut_down_write(&mut self, conn_id: ConnId, reason: CloseReason) {
+        let Some(conn) = self.conns.get_mut(&conn_id) else { return };
+        tracing::info!(conn = conn_id, ?reason, "writing side closed");
+        conn.write_closed = true;
         if let Peer::Caller(caller) = &mut conn.peer {
             caller.acknowledge_releases();
         }
-        self.outputs.push_back(Output::ShutdownWrite(token));
+        self.outputs.push_back(Output::ShutdownWrite(conn_id));
         self.calls
             .deadlines
-            .add(self.now + FINISH_WITHIN, Deadline::Engine(EngineDeadline::FinishTimeout(token)));
+            .add(self.now + WRITE_SHUTDOWN_TIMEOUT, Deadline::Engine(EngineDeadline::FinishTimeout(conn_id)));
     }
 
-    /// Drops what came on a connection that is finishing.
-    fn drop_input(&mut self, token: ConnId) {
-        if let Some((read_buffer, _)) = self.buffers(token) {
+    /// Discards the input of a connection whose writing side is closed.
+    fn discard_input(&mut self, conn_id: ConnId) {
+        if let Some((read_buffer, _)) = self.buffers(conn_id) {
             let count = read_buffer.unread().len();
             read_buffer.consume(count);
         }
     }
 
-    fn fail(&mut self, token: ConnId, connect_failed: bool, refused: bool) {
-        let Some(conn) = self.forget(token) else { return };
+    fn handle_disconnect(&mut self, conn_id: ConnId, connect_failed: bool, refused: bool) {
+        let Some(conn) = self.remove_conn(conn_id) else { return };
         match conn.peer {
             Peer::Caller(caller) => {
                 self.callers.count -= 1;
-                self.calls.caller_disconnected(self.now, token);
-                let unfinished = caller.into_undelivered(self.now);
-                for id in unfinished.answers {
+                self.calls.caller_disconnected(self.now, conn_id);
+                let undelivered = caller.into_undelivered(self.now);
+                for id in undelivered.answers {
                     self.calls.answer_lost(self.now, id);
                 }
-                // A release that crossed the close is said again on another connection.
-                for (call_id, cause) in unfinished.releases {
+                // A release that crossed the close is sent again on another connection.
+                for (call_id, cause) in undelivered.releases {
                     let notification = CallerNotification::Released(cause);
                     self.calls.commands.push_back(Command::NotifyCaller {
                         conn: None,
@@ -471,13 +476,13 @@
                 }
             }
             Peer::Journal(_) => {
-                tracing::warn!(conn = token, connect_failed, "journal connection lost");
+                tracing::warn!(conn = conn_id, connect_failed, "journal connection lost");
                 self.calls.counters.increment("errors journal connections lost");
-                self.journal_lost(connect_failed);
+                self.journal_disconnected(connect_failed);
             }
             Peer::Exchange(id) => {
                 tracing::warn!(
-                    conn = token,
+                    conn = conn_id,
                     exchange = id,
                     connect_failed,
                     refused,
@@ -487,28 +492,24 @@
                     true => "errors exchange connections unmade",
                     false => "errors exchange connections lost",
                 });
-                self.link_lost(id, connect_failed, refused);
+                self.exchange_disconnected(id, connect_failed, refused);
             }
-            Peer::Check(check) => self.check_lost(check.exchange, refused),
+            Peer::Check(check) => self.check_disconnected(check.exchange, refused),
         }
     }
 
-    /// Takes a connection out of the books and has its socket closed.
-    fn forget(&mut self, token: ConnId) -> Option<Conn> {
-        let conn = self.conns.remove(&token)?;
-        self.held -= conn.held;
-        self.touched.remove(&token);
-        self.outputs.push_back(Output::Close(token));
+    /// Removes a connection and has its socket closed.
+    fn remove_conn(&mut self, conn_id: ConnId) -> Option<Conn> {
+        let conn = self.conns.remove(&conn_id)?;
+        self.buffer_bytes -= conn.buffer_bytes;
+        self.needs_flush.remove(&conn_id);
+        self.outputs.push_back(Output::Close(conn_id));
         Some(conn)
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // Writing
-    // -----------------------------------------------------------------------------------------------------
-
-    /// What has to be written next on a connection.
-    pub fn pending_bytes(&self, token: ConnId) -> &[u8] {
-        match self.conns.get(&token).map(|c| &c.peer) {
+    /// The bytes to write next on a connection.
+    pub fn pending_bytes(&self, conn_id: ConnId) -> &[u8] {
+        match self.conns.get(&conn_id).map(|c| &c.peer) {
             Some(Peer::Caller(caller)) => caller.write_buffer.pending(),
             Some(Peer::Journal(journal)) => journal.write_buffer.pending(),
             Some(Peer::Check(check)) => check.session.write_buffer.pending(),
@@ -517,85 +518,87 @@
         }
     }
 
-    /// So many bytes of it were written.
-    pub fn bytes_written(&mut self, token: ConnId, count: usize) {
-        if let Some((_, write_buffer)) = self.buffers(token) {
+    /// Reports that `count` of the pending bytes were written.
+    pub fn bytes_written(&mut self, conn_id: ConnId, count: usize) {
+        if let Some((_, write_buffer)) = self.buffers(conn_id) {
             write_buffer.mark_written(count);
         }
     }
 
-    /// All that could be written on a connection was. Tells what it is to be watched for, unless it was closed
-    /// or is not up yet.
-    pub fn flushed(&mut self, token: ConnId) -> Option<Interest> {
-        let (read_buffer, write_buffer) = self.buffers(token)?;
-        let (left, held) =
+    /// Reports that a connection was written to as far as possible. Returns the readiness events it needs, or `None`
+    /// if it is closed or not established yet.
+    pub fn flushed(&mut self, conn_id: ConnId) -> Option<Interest> {
+        let (read_buffer, write_buffer) = self.buffers(conn_id)?;
+        let (unsent, buffer_bytes) =
             (write_buffer.pending().len(), read_buffer.capacity_bytes() + write_buffer.capacity_bytes());
         let bounds = self.bounds;
-        let conn = self.conns.get_mut(&token).filter(|c| !c.connecting)?;
-        self.held = self.held - conn.held + held;
-        conn.held = held;
-        let (caller, ended, unreadable) = (matches!(conn.peer, Peer::Caller(_)), conn.ended, conn.unreadable);
-        // When memory is short, a caller that holds more than its share of it makes room.
-        let over = caller
-            && self.held > bounds.max_buffered_bytes
-            && held > bounds.max_buffered_bytes / bounds.max_connections;
-        if over || left > SLOW[1] {
-            let reason = if over { CloseReason::OutOfMemory } else { CloseReason::SlowReader };
-            self.close(token, reason);
+        let conn = self.conns.get_mut(&conn_id).filter(|c| !c.connecting)?;
+        self.buffer_bytes = self.buffer_bytes - conn.buffer_bytes + buffer_bytes;
+        conn.buffer_bytes = buffer_bytes;
+        let (is_caller, read_closed, unreadable) =
+            (matches!(conn.peer, Peer::Caller(_)), conn.read_closed, conn.unreadable);
+        // When memory is short, callers whose buffers exceed their share are disconnected.
+        let over_share = is_caller
+            && self.buffer_bytes > bounds.max_buffered_bytes
+            && buffer_bytes > bounds.max_buffered_bytes / bounds.max_connections;
+        if over_share || unsent > MAX_UNSENT_BYTES {
+            let reason = if over_share { CloseReason::OutOfMemory } else { CloseReason::SlowReader };
+            self.close(conn_id, reason);
             return None;
         }
-        if unreadable || ended && left == 0 && !self.calls.has_open_set_ups(token) {
-            self.close(token, CloseReason::Finished);
+        if unreadable || read_closed && unsent == 0 && !self.calls.has_open_set_ups(conn_id) {
+            self.close(conn_id, CloseReason::Finished);
             return None;
         }
-        Some(Interest { readable: !(ended || caller && left > SLOW[0]), writable: left > 0 })
+        Some(Interest {
+            readable: !(read_closed || is_caller && unsent > PAUSE_READ_BYTES),
+            writable: unsent > 0,
+        })
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // Deadlines, commands
-    // -----------------------------------------------------------------------------------------------------
-
-    fn link_due(&mut self, due: EngineDeadline) {
-        match due {
-            EngineDeadline::ConnectTimeout(token) => {
-                if self.conns.get(&token).is_some_and(|c| c.connecting) {
-                    self.connect_failed(token, false);
+    fn handle_engine_deadline(&mut self, deadline: EngineDeadline) {
+        match deadline {
+            EngineDeadline::ConnectTimeout(conn_id) => {
+                if self.conns.get(&conn_id).is_some_and(|c| c.connecting) {
+                    self.connect_failed(conn_id, false);
                 }
             }
-            EngineDeadline::IncompleteMessage(id, token) => self.half_due(id, token),
-            EngineDeadline::SilenceTimeout(id, token) => self.silent_due(id, token),
-            EngineDeadline::Reconnect(id) => self.redial_due(id),
-            EngineDeadline::LivenessCheck(id) => self.liveness_due(id),
-            EngineDeadline::CompareCircuits { exchange, since } => self.compare_due(exchange, since),
-            EngineDeadline::PollJournal => self.ask_journal(),
-            EngineDeadline::JournalTimeout(token) => self.journal_due(token),
-            EngineDeadline::CallerCheck(token) => self.caller_due(token),
-            EngineDeadline::DeliverReleases => self.deliver(None),
+            EngineDeadline::IncompleteMessage(id, conn_id) => self.handle_incomplete_message(id, conn_id),
+            EngineDeadline::SilenceTimeout(id, conn_id) => self.handle_silent_connection(id, conn_id),
+            EngineDeadline::Reconnect(id) => self.handle_reconnect(id),
+            EngineDeadline::LivenessCheck(id) => self.check_liveness(id),
+            EngineDeadline::CompareCircuits { exchange, since } => self.compare_calls(exchange, since),
+            EngineDeadline::PollJournal => self.poll_journal(),
+            EngineDeadline::JournalTimeout(conn_id) => self.handle_journal_timeout(conn_id),
+            EngineDeadline::CallerCheck(conn_id) => self.check_caller(conn_id),
+            EngineDeadline::DeliverReleases => self.deliver_releases(None),
             EngineDeadline::StopListening => self.stop_listening(),
-            EngineDeadline::CloseUnused => self.close_unused(),
-            EngineDeadline::FinishTimeout(token) => self.connection_lost(token),
+            EngineDeadline::CloseUnused => self.close_unused_callers(),
+            EngineDeadline::FinishTimeout(conn_id) => self.connection_lost(conn_id),
             EngineDeadline::ForcedExit => self.stop(),
         }
     }
 
-    /// Carries out what the call table commands, until nothing more follows from it.
+    /// Carries out the commands of the call table until none is left.
     pub fn run_commands(&mut self) {
         self.calls.dispatch_queued_events(self.now);
         while let Some(command) = self.calls.commands.pop_front() {
             match command {
                 Command::NotifyCaller { conn, call_id, notification } => {
-                    self.say_caller(conn, call_id, &notification)
+                    self.notify_caller(conn, call_id, &notification)
+                }
+                Command::RequestExchange { to, call_id, request } => {
+                    self.request_exchange(to, call_id, &request)
                 }
-                Command::RequestExchange { to, call_id, request } => self.say_exchange(to, call_id, &request),
                 Command::WithdrawSetUps(id) => {
-                    let back =
+                    let withdrawn =
                         self.links.get_mut(&id).map(|l| l.session.withdraw_set_ups()).unwrap_or_default();
-                    for (call, attempt) in back {
-                        self.calls.attempt_lost(self.now, call, attempt, AttemptProgress::NeverSent);
+                    for (call_id, attempt) in withdrawn {
+                        self.calls.attempt_lost(self.now, call_id, attempt, AttemptProgress::NeverSent);
                     }
                 }
-                Command::UpdateLinks => self.listed(),
-                Command::StartLivenessChecks(id) => self.watch(id),
+                Command::UpdateLinks => self.update_links(),
+                Command::StartLivenessChecks(id) => self.start_liveness_checks(id),
                 Command::RemoveExchange(id) => {
                     self.drop_link(id);
                     self.calls.remove_exchange(id);
