--- a/dillhold/src/clock.rs
+++ b/dillhold/src/clock.rs
@@ -1,39 +1,39 @@
-//! The clock: the system's Unix time in nanoseconds, which never runs backwards here.
+//! A monotonic clock of Unix time in nanoseconds.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use pitchgw::interface::Nanos;
 
-/// One millisecond.
+/// Nanoseconds in a millisecond.
 pub const MS: Nanos = 1_000_000;
 
-/// Unix time held monotonic. `boot_ms` of the journal is on the same scale.
+/// Unix time made monotonic. The journal's `boot_ms` has the same epoch.
 #[derive(Debug)]
 pub struct Clock {
-    raw: Nanos,
+    last_system_time: Nanos,
     now: Nanos,
 }
 
 impl Clock {
-    /// A clock that starts at the present Unix time.
+    /// Creates a clock that starts at the current system time.
     pub fn start() -> Clock {
-        let raw = unix();
-        Clock { raw, now: raw }
+        let last_system_time = system_time();
+        Clock { last_system_time, now: last_system_time }
     }
 
-    /// The time. When the system's clock was set back, this one goes on from where it stood.
+    /// Reads the time. When the system clock is set back, this one continues from its last value.
     pub fn read(&mut self) -> Nanos {
-        self.step(unix())
+        self.advance(system_time())
     }
 
-    fn step(&mut self, raw: Nanos) -> Nanos {
-        self.now += raw.saturating_sub(self.raw);
-        self.raw = raw;
+    fn advance(&mut self, system_time: Nanos) -> Nanos {
+        self.now += system_time.saturating_sub(self.last_system_time);
+        self.last_system_time = system_time;
         self.now
     }
 }
 
-fn unix() -> Nanos {
+fn system_time() -> Nanos {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as Nanos)
 }
 
@@ -42,8 +42,8 @@
     use super::*;
 
     #[test]
-    fn a_clock_set_back_goes_on_from_where_it_stood() {
-        let mut clock = Clock { raw: 1000, now: 1000 };
-        assert_eq!([clock.step(1500), clock.step(700), clock.step(750)], [1500, 1500, 1550]);
+    fn continues_from_last_value_when_system_clock_is_set_back() {
+        let mut clock = Clock { last_system_time: 1000, now: 1000 };
+        assert_eq!([clock.advance(1500), clock.advance(700), clock.advance(750)], [1500, 1500, 1550]);
     }
 }
--- a/dillhold/src/lib.rs
+++ b/dillhold/src/lib.rs
@@ -1,6 +1,6 @@
-//! The call controller round the decision module `pitchgw`: callers, exchanges and the journal on sockets.
+//! The call controller: serves the decision module `pitchgw` to callers, exchanges and the journal over sockets.
 //!
-//! ARCHITECTURE.md at the root tells the life of a request and who owns what.
+//! ARCHITECTURE.md at the repository root describes the path of a request and the responsibilities of each module.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/dillhold/src/net/archive.rs
+++ b/dillhold/src/net/archive.rs
@@ -1,6 +1,6 @@
-//! Writes closed intervals to the operator's folder, whole or not at all: under a temporary name, synced, renamed,
-//! and the folder synced. A thread of its own does it, for a disk may take longer than a call can wait; there is
-//! none unless measuring is on.
+//! Writes closed intervals to the operator's folder, each completely or not at all: to a temporary file that is
+//! synced and renamed, after which the folder is synced. A separate thread writes, as a disk may take longer than a
+//! call can wait; it only runs while measuring is on.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -10,52 +10,53 @@
 
 use measured::record::{encode, Interval};
 
-/// Intervals that wait for a disk that does not answer; past that they are dropped.
-const WAITING: usize = 16;
+/// Intervals that may wait for a slow disk; further ones are dropped.
+const QUEUE_CAPACITY: usize = 16;
 
-/// The folder with the thread that writes to it.
+/// The folder, and the thread that writes to it.
 pub struct Archive {
     queue: Option<SyncSender<Interval>>,
     writer: Option<JoinHandle<()>>,
 }
 
-/// Writes one interval whole or not at all.
+/// Writes one interval completely or not at all.
 pub fn store(folder: &Path, interval: &Interval) -> io::Result<PathBuf> {
     let name = interval.file_name();
-    let (temporary, place) = (folder.join(format!(".{name}.part")), folder.join(name));
-    let mut file = File::create(&temporary)?;
+    let (temporary_path, path) = (folder.join(format!(".{name}.part")), folder.join(name));
+    let mut file = File::create(&temporary_path)?;
     file.write_all(&encode(interval))?;
     file.sync_all()?;
     drop(file);
-    fs::rename(&temporary, &place)?;
+    fs::rename(&temporary_path, &path)?;
     File::open(folder)?.sync_all()?;
-    Ok(place)
+    Ok(path)
 }
 
 impl Archive {
-    /// Opens a folder, which is made if need be; that it can be written to is found out now and not in the night.
+    /// Opens a folder, creating it if necessary. Checks that it is writable, so that an error shows at the start and
+    /// not with the first interval.
     pub fn open(folder: &Path) -> Result<Archive, String> {
-        let said = |e: io::Error| format!("measure.folder: {}: {e}", folder.display());
-        fs::create_dir_all(folder).map_err(said)?;
-        let probe = folder.join(".dillhold.part");
-        File::create(&probe).and_then(|f| f.sync_all()).map_err(said)?;
-        fs::remove_file(&probe).map_err(said)?;
-        let (queue, intervals) = sync_channel::<Interval>(WAITING);
+        let error_context = |e: io::Error| format!("measure.folder: {}: {e}", folder.display());
+        fs::create_dir_all(folder).map_err(error_context)?;
+        let test_file = folder.join(".dillhold.part");
+        File::create(&test_file).and_then(|f| f.sync_all()).map_err(error_context)?;
+        fs::remove_file(&test_file).map_err(error_context)?;
+        let (queue, intervals) = sync_channel::<Interval>(QUEUE_CAPACITY);
         let folder = folder.to_path_buf();
         let writer = std::thread::Builder::new().name("archive".into()).spawn(move || {
             for interval in intervals {
                 match store(&folder, &interval) {
-                    Ok(place) => tracing::info!(place = %place.display(), "interval written"),
+                    Ok(path) => tracing::info!(place = %path.display(), "interval written"),
                     Err(e) => tracing::error!(from = interval.from, error = %e, "interval not written"),
                 }
             }
         });
-        let writer = writer.map_err(|e| format!("measure: a thread: {e}"))?;
+        let writer = writer.map_err(|e| format!("measure: cannot start the writer thread: {e}"))?;
         Ok(Archive { queue: Some(queue), writer: Some(writer) })
     }
 
-    /// Takes an interval to be written; false: the disk is too far behind.
-    pub fn take(&self, interval: Interval) -> bool {
+    /// Queues an interval to be written. Returns false if the queue is full.
+    pub fn enqueue(&self, interval: Interval) -> bool {
         let queue = self.queue.as_ref();
         !queue.is_some_and(|q| matches!(q.try_send(interval), Err(TrySendError::Full(_))))
     }
@@ -63,7 +64,7 @@
 
 impl Drop for Archive {
     fn drop(&mut self) {
-        // The queue ends, and what waits in it is written.
+        // Closing the queue lets the thread write what is queued and end.
         self.queue = None;
         if let Some(writer) = self.writer.take() {
             let _ = writer.join();
--- a/dillhold/src/net/conn.rs
+++ b/dillhold/src/net/conn.rs
@@ -1,4 +1,4 @@
-//! One socket with what it is watched for.
+//! A non-blocking socket and its epoll registration.
 
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpStream};
@@ -9,29 +9,29 @@
 use rustix::io::Errno;
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType};
 
-/// A connection.
+/// A connection's socket.
 pub struct Conn {
     pub stream: TcpStream,
-    /// It is not up yet.
+    /// Not established yet.
     pub connecting: bool,
-    /// It was accepted, so a caller is at its other end.
-    pub caller: bool,
-    watched: EventFlags,
+    /// Accepted by the listener, so the peer is a caller.
+    pub is_caller: bool,
+    interest: EventFlags,
 }
 
 impl Conn {
-    /// Takes a socket and watches it.
+    /// Wraps a socket and registers it with epoll.
     pub fn new(epoll: &OwnedFd, fd: OwnedFd, token: u64, connecting: bool) -> io::Result<Conn> {
         let stream = TcpStream::from(fd);
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        let watched = if connecting { EventFlags::OUT } else { EventFlags::IN };
-        epoll::add(epoll, &stream, EventData::new_u64(token), watched)?;
-        Ok(Conn { stream, connecting, caller: !connecting, watched })
+        let interest = if connecting { EventFlags::OUT } else { EventFlags::IN };
+        epoll::add(epoll, &stream, EventData::new_u64(token), interest)?;
+        Ok(Conn { stream, connecting, is_caller: !connecting, interest })
     }
 
-    /// Whether the connection came up.
-    pub fn connected(&mut self) -> io::Result<()> {
+    /// Checks the result of a non-blocking connect.
+    pub fn finish_connect(&mut self) -> io::Result<()> {
         match self.stream.take_error()? {
             None => {
                 self.connecting = false;
@@ -41,33 +41,39 @@
         }
     }
 
-    /// Sets what it is watched for, if that has changed.
-    pub fn watch(&mut self, epoll: &OwnedFd, token: u64, reads: bool, writes: bool) -> io::Result<()> {
+    /// Updates the epoll registration if it has changed.
+    pub fn set_interest(
+        &mut self,
+        epoll: &OwnedFd,
+        token: u64,
+        readable: bool,
+        writable: bool,
+    ) -> io::Result<()> {
         let mut wanted = EventFlags::empty();
-        wanted.set(EventFlags::IN, reads);
-        wanted.set(EventFlags::OUT, writes);
-        if wanted != self.watched {
+        wanted.set(EventFlags::IN, readable);
+        wanted.set(EventFlags::OUT, writable);
+        if wanted != self.interest {
             epoll::modify(epoll, &self.stream, EventData::new_u64(token), wanted)?;
-            self.watched = wanted;
+            self.interest = wanted;
         }
         Ok(())
     }
 }
 
-/// Starts a connection without waiting for it.
+/// Starts a non-blocking connect.
 pub fn connect(address: SocketAddr) -> io::Result<OwnedFd> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let socket = net::socket_with(family, SocketType::STREAM, flags, None)?;
     match net::connect(&socket, &address) {
-        // A refusal that comes at once is found when the socket is ready, as one that comes later.
+        // An immediate refusal is reported when the socket becomes ready, like a later one.
         Ok(()) | Err(Errno::INPROGRESS) => Ok(socket),
         Err(e) => Err(e.into()),
     }
 }
 
-/// Empties the pipe of a signal.
-pub fn swallow(mut pipe: &UnixStream) {
+/// Discards the bytes in a signal pipe.
+pub fn clear_pipe(mut pipe: &UnixStream) {
     let mut bytes = [0; 64];
     while matches!(pipe.read(&mut bytes), Ok(n) if n > 0) {}
 }
--- a/dillhold/src/net/mod.rs
+++ b/dillhold/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The driver: sockets, epoll, signals and nothing else. It reads into the engine's buffers and writes what they
-//! hold; what is said and when, and what becomes of connections, is settled in [`crate::engine`].
+//! The driver: sockets, epoll and signals. It reads into the engine's buffers and writes from them; protocol and
+//! connection policy are in [`crate::engine`].
 
 pub mod archive;
 mod conn;
@@ -23,102 +23,104 @@
 use archive::Archive;
 use conn::Conn;
 
-/// Tokens of what is no connection; those of connections come after.
+/// Epoll tokens of the listener and the signal pipes. Those of connections are their ids, which start above.
 const LISTENER: u64 = 0;
-const SIGNAL_END: u64 = 1;
+const SIGNAL_SHUTDOWN: u64 = 1;
 const SIGNAL_PRINT: u64 = 2;
 const SIGNAL_RELOAD: u64 = 3;
 const _: () = assert!(SIGNAL_RELOAD < FIRST_CONN_ID);
 
-/// Turns are no further apart than this on account of the tick, whatever the settings say.
-const MOST_TICK: Nanos = 10 * MS;
-/// Connections that wait to be let in; the system has a bound of its own. Past it the system drops what comes,
-/// and a caller that meets a crowd tries again a second later, when its call is too late.
-const BACKLOG: i32 = 4096;
-/// At the start the address may still be in use, by a predecessor that leaves. It is waited for so long, which is
-/// what a restart may take, and tried so often.
-const ADDRESS_WAIT: Duration = Duration::from_secs(10);
-const ADDRESS_RETRY: Duration = Duration::from_millis(20);
-/// Connections taken in within one turn; the others wait for the next.
-const ACCEPTS: usize = 256;
-/// Reads of one connection in a turn, by whether a caller is at its other end. Epoll tells again of what is left.
-const READS: [usize; 2] = [16, 4];
+/// The longest interval between turns that the tick of the settings can cause.
+const MAX_TICK: Nanos = 10 * MS;
+/// Connections that wait to be accepted, subject to the system's own limit. Above it the system drops connections,
+/// and a caller retries a second later, when its call is too late.
+const LISTEN_BACKLOG: i32 = 4096;
+/// How long to wait at the start for the listen address, which a terminating predecessor may still use; a restart may
+/// take that long.
+const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(10);
+const ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Further connections are accepted in the next turn.
+const MAX_ACCEPTS_PER_TURN: usize = 256;
+/// Reads of one connection per turn. Epoll reports remaining input again.
+const MAX_EXCHANGE_READS_PER_TURN: usize = 16;
+const MAX_CALLER_READS_PER_TURN: usize = 4;
 
-/// How long it is too early for the next turn. The module is promised that events come no more often than once
-/// a tick, and its round trips are those of a controller that looks once a tick. Measured against turns as
-/// events come, one fleet day gained 0.02 of the simulator's result and another lost 0.01.
-fn early(last: Nanos, tick: Nanos, now: Nanos) -> Nanos {
-    (last + tick.min(MOST_TICK)).saturating_sub(now)
+/// The delay before the next turn. The decision module is promised at most one turn of events per tick, and its round
+/// trips are those of a controller that polls once per tick. Compared with a turn for each event, the simulator's
+/// result was 0.02 higher on one fleet day and 0.01 lower on another.
+fn turn_delay(last_turn: Nanos, tick: Nanos, now: Nanos) -> Nanos {
+    (last_turn + tick.min(MAX_TICK)).saturating_sub(now)
 }
 
-/// All sockets with the engine that they serve.
+/// The sockets, and the engine that they serve.
 pub struct Driver {
     epoll: std::os::fd::OwnedFd,
     listener: Option<TcpListener>,
-    /// A listener that a new configuration asks for, bound before that is applied.
-    prepared: Option<TcpListener>,
-    listen: SocketAddr,
-    signals: [UnixStream; 3],
-    /// Where the configuration is read from, again on SIGHUP.
-    path: String,
+    /// The listener of a new configuration, bound before that is applied.
+    pending_listener: Option<TcpListener>,
+    listen_address: SocketAddr,
+    /// For shutdown, printing the counters and reload, in this order.
+    signal_pipes: [UnixStream; 3],
+    /// The configuration file, which is read again on SIGHUP.
+    config_path: String,
     clock: Clock,
     now: Nanos,
     engine: Engine,
     archive: Option<Archive>,
     conns: BTreeMap<ConnId, Conn>,
-    leave: bool,
+    stopped: bool,
 }
 
-fn text(what: &'static str) -> impl Fn(io::Error) -> String {
-    move |e| format!("{what}: {e}")
+fn error_context(context: &'static str) -> impl Fn(io::Error) -> String {
+    move |e| format!("{context}: {e}")
 }
 
-/// Reads a configuration with its settings. The error is one plain line.
+/// Reads a configuration and its settings. The error is a single line.
 pub fn read_config(path: &str) -> Result<(Config, ControllerSettings), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("configuration: {path}: {e}"))?;
     let config = directory::read_config(&text)?;
-    let told = directory::read_settings(&config)?;
-    Ok((config, told))
+    let settings = directory::read_settings(&config)?;
+    Ok((config, settings))
 }
 
-/// Binds the address of the start, and waits for it while it is in use.
-fn bind_when_free(at: SocketAddr) -> io::Result<TcpListener> {
-    let give_up = Instant::now() + ADDRESS_WAIT;
-    let mut said = false;
+/// Binds the listen address, waiting while it is in use.
+fn bind_when_free(address: SocketAddr) -> io::Result<TcpListener> {
+    let wait_until = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
+    let mut reported = false;
     loop {
-        match TcpListener::bind(at) {
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && Instant::now() < give_up => {
-                if !std::mem::replace(&mut said, true) {
-                    eprintln!("dillhold: listen: {at} is in use; waits for it");
+        match TcpListener::bind(address) {
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse && Instant::now() < wait_until => {
+                if !std::mem::replace(&mut reported, true) {
+                    eprintln!("dillhold: listen: {address} is in use; waiting for it");
                 }
-                std::thread::sleep(ADDRESS_RETRY);
+                std::thread::sleep(ADDRESS_RETRY_INTERVAL);
             }
-            bound => return bound,
+            result => return result,
         }
     }
 }
 
 fn listen(epoll: &std::os::fd::OwnedFd, listener: TcpListener) -> Result<TcpListener, String> {
-    rustix::net::listen(&listener, BACKLOG).map_err(|e| format!("listen: {e}"))?;
-    listener.set_nonblocking(true).map_err(text("listen"))?;
-    watch(epoll, listener.as_fd(), LISTENER)?;
+    rustix::net::listen(&listener, LISTEN_BACKLOG).map_err(|e| format!("listen: {e}"))?;
+    listener.set_nonblocking(true).map_err(error_context("listen"))?;
+    register(epoll, listener.as_fd(), LISTENER)?;
     Ok(listener)
 }
 
-fn watch(epoll: &std::os::fd::OwnedFd, fd: std::os::fd::BorrowedFd<'_>, token: u64) -> Result<(), String> {
+fn register(epoll: &std::os::fd::OwnedFd, fd: std::os::fd::BorrowedFd<'_>, token: u64) -> Result<(), String> {
     let data = epoll::EventData::new_u64(token);
     epoll::add(epoll, fd, data, epoll::EventFlags::IN).map_err(|e| format!("epoll: {e}"))
 }
 
 impl Driver {
-    /// Reads the configuration and opens the listener, and the operator's folder if he has named one.
-    pub fn start(path: String, operator: &Operator) -> Result<Driver, String> {
-        let (config, told) = read_config(&path)?;
-        let at = config.listen;
-        let listener = bind_when_free(at).map_err(text("listen"))?;
+    /// Reads the configuration, opens the listener and, if the operator's file names one, the measuring folder.
+    pub fn start(config_path: String, operator: &Operator) -> Result<Driver, String> {
+        let (config, settings) = read_config(&config_path)?;
+        let listen_address = config.listen;
+        let listener = bind_when_free(listen_address).map_err(error_context("listen"))?;
         let mut clock = Clock::start();
         let now = clock.read();
-        let mut engine = Engine::new(now, config, told)?;
+        let mut engine = Engine::new(now, config, settings)?;
         let mut archive = None;
         if let Some(measure) = &operator.measure {
             engine.start_measuring(measure.calendar().map_err(|e| e.to_string())?);
@@ -126,63 +128,67 @@
         }
 
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC).map_err(|e| format!("epoll: {e}"))?;
-        let prepared = Some(listen(&epoll, listener)?);
-        let mut ends = Vec::new();
-        let signals =
-            [(SIGNAL_END, &[SIGTERM, SIGINT][..]), (SIGNAL_PRINT, &[SIGUSR1]), (SIGNAL_RELOAD, &[SIGHUP])];
+        let pending_listener = Some(listen(&epoll, listener)?);
+        let mut signal_pipes = Vec::new();
+        let signals = [
+            (SIGNAL_SHUTDOWN, &[SIGTERM, SIGINT][..]),
+            (SIGNAL_PRINT, &[SIGUSR1]),
+            (SIGNAL_RELOAD, &[SIGHUP]),
+        ];
         for (token, signals) in signals {
-            let (ours, theirs) = UnixStream::pair().map_err(text("signals"))?;
-            ours.set_nonblocking(true).map_err(text("signals"))?;
+            let (read_end, write_end) = UnixStream::pair().map_err(error_context("signals"))?;
+            read_end.set_nonblocking(true).map_err(error_context("signals"))?;
             for signal in signals {
-                let end = theirs.try_clone().map_err(text("signals"))?;
-                signal_hook::low_level::pipe::register(*signal, end).map_err(text("signals"))?;
+                let write_end = write_end.try_clone().map_err(error_context("signals"))?;
+                signal_hook::low_level::pipe::register(*signal, write_end)
+                    .map_err(error_context("signals"))?;
             }
-            watch(&epoll, ours.as_fd(), token)?;
-            ends.push(ours);
+            register(&epoll, read_end.as_fd(), token)?;
+            signal_pipes.push(read_end);
         }
-        let signals = ends.try_into().map_err(|_| "signals")?;
-        let (conns, leave) = (BTreeMap::new(), false);
+        let signal_pipes = signal_pipes.try_into().map_err(|_| "signals")?;
+        let (conns, stopped) = (BTreeMap::new(), false);
         let mut driver = Driver {
             epoll,
             listener: None,
-            prepared,
-            listen: at,
-            signals,
-            path,
+            pending_listener,
+            listen_address,
+            signal_pipes,
+            config_path,
             clock,
             now,
             engine,
             archive,
             conns,
-            leave,
+            stopped,
         };
-        driver.perform();
+        driver.apply_outputs();
         Ok(driver)
     }
 
-    /// Serves until the end.
+    /// Serves until the shutdown is complete.
     pub fn run(mut self) -> Result<(), String> {
         let mut events = Vec::with_capacity(1024);
-        while !self.leave {
-            self.turn(&mut events)?;
+        while !self.stopped {
+            self.run_turn(&mut events)?;
         }
         for conn in self.conns.values() {
-            // What was written must arrive; a close with bytes unread would cut it off.
+            // Closing a socket with unread input would discard bytes that are not sent yet.
             let _ = conn.stream.shutdown(Shutdown::Write);
         }
         std::thread::sleep(Duration::from_millis(50));
-        self.print();
+        self.print_counters();
         Ok(())
     }
 
-    fn print(&self) {
+    fn print_counters(&self) {
         eprint!("{}", self.engine.counters());
     }
 
-    fn turn(&mut self, events: &mut Vec<epoll::Event>) -> Result<(), String> {
+    fn run_turn(&mut self, events: &mut Vec<epoll::Event>) -> Result<(), String> {
         events.clear();
-        std::thread::sleep(Duration::from_nanos(early(self.now, self.engine.tick(), self.clock.read())));
-        // Reckoned after that sleep, or a deadline within it would come late by as much again.
+        std::thread::sleep(Duration::from_nanos(turn_delay(self.now, self.engine.tick(), self.clock.read())));
+        // Computed after the sleep, or a deadline within it would be late by as much again.
         let due = self.engine.next_deadline();
         let wait = due.map_or(1_000 * MS, |at| at.saturating_sub(self.clock.read()));
         let timeout =
@@ -197,53 +203,53 @@
             let flags = event.flags;
             match event.data.u64() {
                 LISTENER => self.accept(),
-                SIGNAL_END => {
-                    conn::swallow(&self.signals[0]);
+                SIGNAL_SHUTDOWN => {
+                    conn::clear_pipe(&self.signal_pipes[0]);
                     self.engine.shut_down();
                 }
                 SIGNAL_PRINT => {
-                    conn::swallow(&self.signals[1]);
-                    self.print();
+                    conn::clear_pipe(&self.signal_pipes[1]);
+                    self.print_counters();
                 }
                 SIGNAL_RELOAD => {
-                    conn::swallow(&self.signals[2]);
-                    if let Err(text) = self.reload() {
-                        eprintln!("dillhold: not applied: {}", text.replace(char::is_control, " "));
+                    conn::clear_pipe(&self.signal_pipes[2]);
+                    if let Err(error) = self.reload() {
+                        eprintln!("dillhold: not applied: {}", error.replace(char::is_control, " "));
                     }
                 }
-                token => self.ready(token, flags),
+                token => self.handle_event(token, flags),
             }
         }
         self.engine.handle_deadlines();
         loop {
             self.engine.run_commands();
-            self.perform();
-            while let Some(token) = self.engine.poll_write() {
-                self.flush(token);
+            self.apply_outputs();
+            while let Some(conn_id) = self.engine.poll_write() {
+                self.flush(conn_id);
             }
             if self.engine.is_turn_complete() {
                 break;
             }
         }
         self.engine.end_turn();
-        self.perform();
+        self.apply_outputs();
         while let Some(interval) = self.engine.poll_interval() {
-            if !self.archive.as_ref().is_some_and(|a| a.take(interval)) {
+            if !self.archive.as_ref().is_some_and(|archive| archive.enqueue(interval)) {
                 self.engine.count_error("errors intervals dropped");
             }
         }
         Ok(())
     }
 
-    /// Does what the engine asks for.
-    fn perform(&mut self) {
+    /// Carries out the engine's outputs.
+    fn apply_outputs(&mut self) {
         while let Some(output) = self.engine.poll_output() {
             match output {
                 Output::Connect { conn, to } => {
-                    let made = conn::connect(to).and_then(|fd| Conn::new(&self.epoll, fd, conn, true));
-                    match made {
-                        Ok(made) => {
-                            self.conns.insert(conn, made);
+                    let opened = conn::connect(to).and_then(|fd| Conn::new(&self.epoll, fd, conn, true));
+                    match opened {
+                        Ok(opened) => {
+                            self.conns.insert(conn, opened);
                         }
                         Err(e) => {
                             self.engine.connect_failed(conn, e.kind() == io::ErrorKind::ConnectionRefused)
@@ -259,103 +265,106 @@
                     }
                 }
                 Output::Listen(_) => {
-                    self.listener = self.prepared.take().or(self.listener.take());
+                    self.listener = self.pending_listener.take().or(self.listener.take());
                 }
                 Output::StopListening => {
                     self.accept();
                     self.listener = None;
                 }
-                Output::Stop => self.leave = true,
+                Output::Stop => self.stopped = true,
             }
         }
     }
 
     fn accept(&mut self) {
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(listener) = &self.listener else { return };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // Of descriptors run out, say: the next turn tries again, a tick later.
+                // For example out of file descriptors: retried in the next turn, a tick later.
                 Err(_) => return self.engine.count_error("errors accepting"),
             };
-            let Some(token) = self.engine.accepted() else { continue };
-            match Conn::new(&self.epoll, stream.into(), token, false) {
+            let Some(conn_id) = self.engine.accepted() else { continue };
+            match Conn::new(&self.epoll, stream.into(), conn_id, false) {
                 Ok(conn) => {
-                    self.conns.insert(token, conn);
+                    self.conns.insert(conn_id, conn);
                 }
                 Err(_) => {
                     self.engine.count_error("errors opening");
-                    self.engine.connection_lost(token);
+                    self.engine.connection_lost(conn_id);
                 }
             }
         }
     }
 
-    fn ready(&mut self, token: ConnId, flags: epoll::EventFlags) {
-        let Some(conn) = self.conns.get_mut(&token) else { return };
+    fn handle_event(&mut self, conn_id: ConnId, flags: epoll::EventFlags) {
+        let Some(conn) = self.conns.get_mut(&conn_id) else { return };
         if conn.connecting {
-            return match conn.connected() {
-                Ok(()) => self.engine.connected(token),
-                Err(e) => self.engine.connect_failed(token, e.kind() == io::ErrorKind::ConnectionRefused),
+            return match conn.finish_connect() {
+                Ok(()) => self.engine.connected(conn_id),
+                Err(e) => self.engine.connect_failed(conn_id, e.kind() == io::ErrorKind::ConnectionRefused),
             };
         }
         if flags.intersects(epoll::EventFlags::HUP | epoll::EventFlags::ERR) {
-            self.engine.peer_closed(token);
+            self.engine.peer_closed(conn_id);
         }
-        self.engine.writable(token);
+        self.engine.writable(conn_id);
         if flags.intersects(epoll::EventFlags::IN | epoll::EventFlags::HUP | epoll::EventFlags::ERR) {
-            self.read(token);
+            self.read(conn_id);
         }
     }
 
-    fn read(&mut self, token: ConnId) {
-        let Some(conn) = self.conns.get_mut(&token) else { return };
-        for _ in 0..READS[usize::from(conn.caller)] {
-            let Some(room) = self.engine.read_buffer(token) else { return };
-            match io::Read::read(&mut conn.stream, room) {
-                Ok(0) => return self.engine.read_closed(token),
-                Ok(count) => self.engine.bytes_read(token, count),
+    fn read(&mut self, conn_id: ConnId) {
+        let Some(conn) = self.conns.get_mut(&conn_id) else { return };
+        let max_reads = if conn.is_caller { MAX_CALLER_READS_PER_TURN } else { MAX_EXCHANGE_READS_PER_TURN };
+        for _ in 0..max_reads {
+            let Some(buffer) = self.engine.read_buffer(conn_id) else { return };
+            match io::Read::read(&mut conn.stream, buffer) {
+                Ok(0) => return self.engine.read_closed(conn_id),
+                Ok(count) => self.engine.bytes_read(conn_id, count),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => return self.engine.connection_lost(token),
+                Err(_) => return self.engine.connection_lost(conn_id),
             }
         }
     }
 
-    fn flush(&mut self, token: ConnId) {
-        let Some(conn) = self.conns.get_mut(&token).filter(|c| !c.connecting) else { return };
+    fn flush(&mut self, conn_id: ConnId) {
+        let Some(conn) = self.conns.get_mut(&conn_id).filter(|c| !c.connecting) else { return };
         loop {
-            let pending = self.engine.pending_bytes(token);
+            let pending = self.engine.pending_bytes(conn_id);
             if pending.is_empty() {
                 break;
             }
             match io::Write::write(&mut conn.stream, pending) {
-                Ok(count) => self.engine.bytes_written(token, count),
+                Ok(count) => self.engine.bytes_written(conn_id, count),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => return self.engine.connection_lost(token),
+                Err(_) => return self.engine.connection_lost(conn_id),
             }
         }
-        if let Some(interest) = self.engine.flushed(token) {
-            if conn.watch(&self.epoll, token, interest.readable, interest.writable).is_err() {
-                self.engine.connection_lost(token);
+        if let Some(interest) = self.engine.flushed(conn_id) {
+            if conn.set_interest(&self.epoll, conn_id, interest.readable, interest.writable).is_err() {
+                self.engine.connection_lost(conn_id);
             }
         }
     }
 
-    /// Reads the configuration again and applies it whole, or not at all. Calls and connections stay.
+    /// Reads the configuration again and applies all of it or nothing. Calls and connections are kept.
     fn reload(&mut self) -> Result<(), String> {
-        let (config, told) = read_config(&self.path)?;
-        if !self.engine.can_reconfigure(&told) {
-            return Err("configuration: settings: own exchange, layout or classes differ: start anew".into());
+        let (config, settings) = read_config(&self.config_path)?;
+        if !self.engine.can_reconfigure(&settings) {
+            return Err(
+                "configuration: settings: own exchange, layout or classes differ: restart required".into()
+            );
         }
-        if config.listen != self.listen && self.listener.is_some() {
-            let listener = TcpListener::bind(config.listen).map_err(text("listen"))?;
-            self.prepared = Some(listen(&self.epoll, listener)?);
-            self.listen = config.listen;
+        if config.listen != self.listen_address && self.listener.is_some() {
+            let listener = TcpListener::bind(config.listen).map_err(error_context("listen"))?;
+            self.pending_listener = Some(listen(&self.epoll, listener)?);
+            self.listen_address = config.listen;
         }
-        self.engine.reconfigure(config, told);
+        self.engine.reconfigure(config, settings);
         Ok(())
     }
 }
@@ -365,9 +374,12 @@
     use super::*;
 
     #[test]
-    fn turns_are_a_tick_apart_and_no_turn_waits_for_longer() {
-        let at = |now| early(100 * MS, 5 * MS, now);
-        assert_eq!([at(100 * MS), at(103 * MS), at(105 * MS), at(900 * MS)], [5 * MS, 2 * MS, 0, 0]);
-        assert_eq!(early(100 * MS, 900 * MS, 100 * MS), MOST_TICK);
+    fn turns_are_one_tick_apart_and_at_most_the_maximum() {
+        let delay_at = |now| turn_delay(100 * MS, 5 * MS, now);
+        assert_eq!(
+            [delay_at(100 * MS), delay_at(103 * MS), delay_at(105 * MS), delay_at(900 * MS)],
+            [5 * MS, 2 * MS, 0, 0]
+        );
+        assert_eq!(turn_delay(100 * MS, 900 * MS, 100 * MS), MAX_TICK);
     }
 }
--- a/dillhold/src/operator.rs
+++ b/dillhold/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's own file, `deploy/dillhold.json5`: what is new is switched on here. Absent, everything new is off.
+//! The operator's file, `deploy/dillhold.json5`, which enables optional features. Without it all of them are off.
 
 use std::path::{Path, PathBuf};
 
@@ -6,10 +6,10 @@
 use serde::Deserialize;
 use settings::{key, Misread};
 
-/// Where the file is looked for, from where the program was started.
-pub const USUAL_PLACE: &str = "deploy/dillhold.json5";
+/// The default path of the file, relative to the working directory.
+pub const DEFAULT_PATH: &str = "deploy/dillhold.json5";
 
-/// What the operator has switched on.
+/// The features that the operator has enabled.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
@@ -17,49 +17,49 @@
     pub measure: Option<Measure>,
 }
 
-/// Measuring of trunk groups, interval by interval.
+/// Settings for measuring trunk groups in intervals.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Measure {
-    /// The folder that intervals are written to.
+    /// The folder to which intervals are written.
     pub folder: PathBuf,
-    /// Minutes of an interval.
-    #[serde(default = "quarter")]
+    /// The length of an interval in minutes.
+    #[serde(default = "default_interval_minutes")]
     pub interval_minutes: u32,
-    /// The time zone that intervals are aligned to.
+    /// The time zone to which intervals are aligned.
     pub time_zone: String,
 }
 
-fn quarter() -> u32 {
+fn default_interval_minutes() -> u32 {
     15
 }
 
 impl Measure {
-    /// The intervals by the clock.
+    /// The calendar of the intervals.
     pub fn calendar(&self) -> Result<Calendar, BadCalendar> {
         Calendar::new(&self.time_zone, self.interval_minutes)
     }
 }
 
-/// Reads the operator's file. One that is named must be there; the one at the usual place need not.
-pub fn read(named: Option<&str>) -> Result<Operator, Misread> {
-    let path = Path::new(named.unwrap_or(USUAL_PLACE));
-    if named.is_none() && !path.exists() {
+/// Reads the operator's file. A file named explicitly must exist; the one at the default path need not.
+pub fn read(explicit_path: Option<&str>) -> Result<Operator, Misread> {
+    let path = Path::new(explicit_path.unwrap_or(DEFAULT_PATH));
+    if explicit_path.is_none() && !path.exists() {
         return Ok(Operator::default());
     }
     parse(&path.display().to_string(), &settings::text(path)?)
 }
 
-/// Reads the text of one; `file` is only named in errors.
+/// Parses the text of an operator's file. Errors name `file`.
 pub fn parse(file: &str, text: &str) -> Result<Operator, Misread> {
     let operator: Operator = settings::parse(file, text)?;
     if let Some(measure) = &operator.measure {
         measure.calendar().map_err(|e| {
-            let which = match e {
+            let setting = match e {
                 BadCalendar::Zone(_) => "time_zone",
                 BadCalendar::Minutes(_) => "interval_minutes",
             };
-            settings::refuse(file, text, &[key("measure"), key(which)], e.to_string())
+            settings::refuse(file, text, &[key("measure"), key(setting)], e.to_string())
         })?;
         if measure.folder.as_os_str().is_empty() {
             let path = [key("measure"), key("folder")];
@@ -74,16 +74,19 @@
     use super::*;
 
     #[test]
-    fn what_is_wrong_is_named_with_its_place_and_key() {
+    fn errors_name_position_and_key() {
         let error = |text: &str| parse("o.json5", text).unwrap_err().to_string();
-        let bad = error("{ measure: { folder: 'x',\n  time_zone: 'Europe/Atlantis' } }");
+        let message = error("{ measure: { folder: 'x',\n  time_zone: 'Europe/Atlantis' } }");
         assert_eq!(
-            bad,
+            message,
             "o.json5:2:14: measure.time_zone: there is no time zone 'Europe/Atlantis' (one like Europe/Prague is \
              needed)"
         );
-        let bad = error("{ measure: { folder: 'x', interval_minutes: 7, time_zone: 'UTC' } }");
-        assert!(bad.starts_with("o.json5:1:45: measure.interval_minutes: intervals of 7 minutes"), "{bad}");
+        let message = error("{ measure: { folder: 'x', interval_minutes: 7, time_zone: 'UTC' } }");
+        assert!(
+            message.starts_with("o.json5:1:45: measure.interval_minutes: intervals of 7 minutes"),
+            "{message}"
+        );
         assert!(error("{ measured: {} }").contains("measured: unknown field `measured`"));
         assert!(error("{ measure: { folder: '', time_zone: 'UTC' } }").contains("no folder is named"));
         assert!(parse("o.json5", "{ /* all off */ }").unwrap().measure.is_none());
--- a/dillhold/tests/program.rs
+++ b/dillhold/tests/program.rs
@@ -304,7 +304,7 @@
     let config = test_config(listen, journal.local_addr().unwrap(), &[]);
     let child = spawn_program(&config.to_string(), "successor");
     let mut program = Program { child, listen, config, path: config_path("successor") };
-    program.read_stderr_until("is in use; waits for it\n");
+    program.read_stderr_until("is in use; waiting for it\n");
     drop(predecessor);
     // It asks the journal once it serves.
     let _asked = accept(&journal);
