--- a/dillhold/tests/common/mod.rs
+++ b/dillhold/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The program with everything it talks to, on loopback sockets.
-#![allow(dead_code)] // each test file uses its part
+//! Fixtures: the program, and its callers, exchanges and journal service on loopback sockets.
+#![allow(dead_code)] // no test file uses every fixture
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,10 +13,10 @@
 
 pub const DESCRIPTION: &[u8] = b"5f716a7cc1d37084\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0\r\n\xff\0";
 
-/// What a caller was told: the type, the call, the cause or 0, the description.
+/// A binary message: its kind, call id, cause (0 if it has none) and description.
 pub type ReceivedMessage = (u8, u64, u8, Vec<u8>);
 
-/// One end of a connection, with what was read and not yet taken.
+/// The test's end of a connection, with the input that is not parsed yet.
 pub struct Connection {
     pub stream: TcpStream,
     read_buffer: ReadBuffer,
@@ -24,7 +24,7 @@
 
 impl Connection {
     pub fn new(stream: TcpStream) -> Connection {
-        // Long enough for any machine: a test that fails waits so long, one that passes does not.
+        // Only a failing test waits this long; it allows for slow machines.
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         stream.set_nodelay(true).unwrap();
         Connection { stream, read_buffer: ReadBuffer::default() }
@@ -34,52 +34,46 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Reads until `parse` finds something.
-    fn next<T>(&mut self, parse: impl Fn(&[u8]) -> Option<(T, usize)>) -> T {
+    /// Reads a message, for which `parse` returns its value and its length once it is complete.
+    fn read_message<T>(&mut self, parse: impl Fn(&[u8]) -> Option<(T, usize)>) -> T {
         loop {
             if let Some((found, taken)) = parse(self.read_buffer.unread()) {
                 self.read_buffer.consume(taken);
                 return found;
             }
-            let count = self.stream.read(self.read_buffer.unfilled()).expect("a message in time");
-            assert!(count > 0, "the connection ended");
+            let count = self.stream.read(self.read_buffer.unfilled()).expect("a message before the timeout");
+            assert!(count > 0, "connection closed instead of a message");
             self.read_buffer.advance(count);
         }
     }
 
-    /// The next binary message.
+    /// Reads a binary message.
     pub fn read_binary(&mut self) -> ReceivedMessage {
-        self.next(|bytes| {
+        self.read_message(|bytes| {
             let (m, taken) = binary::parse(bytes).unwrap()?;
             let description = m.parameter(binary::param::DESCRIPTION).unwrap_or_default().to_vec();
             Some(((m.kind, m.call_id, m.cause().unwrap_or(0), description), taken))
         })
     }
 
-    /// The next SIP message, which has to start like this: its `Call-ID`, number of `CSeq` and whole text.
+    /// Reads a SIP message that has to begin with `start`. Returns the call id, the `CSeq` number and the whole
+    /// message.
     pub fn read_sip(&mut self, start: &str) -> (u64, u32, Vec<u8>) {
-        let (id, number, text) = self.next(|bytes| {
+        let (id, number, text) = self.read_message(|bytes| {
             let (m, taken) = sip::parse(bytes).unwrap()?;
             let number = m.cseq().expect("a CSeq").0;
             Some(((m.call_id().expect("a Call-ID"), number, bytes[..taken].to_vec()), taken))
         });
-        let shown = String::from_utf8_lossy(&text);
-        assert!(shown.starts_with(start), "expected {start}, came {shown}");
+        let printable = String::from_utf8_lossy(&text);
+        assert!(printable.starts_with(start), "expected {start}, got {printable}");
         (id, number, text)
     }
 
-    /// Responds to a set-up, or says something of a call.
-    pub fn send_sip(&mut self, line: &str, id: u64, sequence: (u32, &str), further: &str, body: &[u8]) {
+    /// Sends a SIP request or response with this start line.
+    pub fn send_sip(&mut self, line: &str, id: u64, cseq: (u32, &str), headers: &str, body: &[u8]) {
         let mut out = Vec::new();
         let call = format!("{id:016x}");
-        sip::write(
-            &mut out,
-            format_args!("{line}"),
-            call.as_bytes(),
-            sequence,
-            format_args!("{further}"),
-            body,
-        );
+        sip::write(&mut out, format_args!("{line}"), call.as_bytes(), cseq, format_args!("{headers}"), body);
         self.send(&out);
     }
 
@@ -89,7 +83,7 @@
         self.send(&out);
     }
 
-    /// A set-up of three seconds for exchange 1, advised by way of exchange 2.
+    /// Sends a set-up for exchange 1 with a timeout of 3 s and exchange 2 as the advised tandem.
     pub fn send_set_up(&mut self, id: u64) {
         self.send_binary(
             1,
@@ -104,30 +98,34 @@
         );
     }
 
-    /// Comes to know that the other side has closed the connection.
+    /// Waits until the peer has closed the connection.
     pub fn wait_for_close(&mut self) {
         let mut bytes = [0; 4096];
         while !matches!(self.stream.read(&mut bytes), Ok(0)) {
-            // What was said before the close is of no interest; a reset is a close too.
+            // Input before the close is ignored; a reset counts as a close.
             if let Err(e) = self.stream.read(&mut bytes) {
-                assert_eq!(e.kind(), std::io::ErrorKind::ConnectionReset, "the connection is still open");
+                assert_eq!(
+                    e.kind(),
+                    std::io::ErrorKind::ConnectionReset,
+                    "connection still open at the timeout"
+                );
                 return;
             }
         }
     }
 
-    /// Comes to know that nothing else was said: a test is answered next.
+    /// Checks that no message is pending: the next one is the response to a test status now.
     pub fn expect_nothing_else(&mut self) {
         self.send_binary(52, 99, &[(114, &[0])]);
         assert_eq!(self.read_binary(), (53, 99, 1, Vec::new()));
     }
 }
 
-/// The program; it is ended with the test.
+/// The program under test; it is killed when dropped.
 pub struct Program {
     pub child: Child,
     pub listen: SocketAddr,
-    /// Its configuration and where that is.
+    /// Its configuration, and the file that holds it.
     pub config: Value,
     pub path: PathBuf,
 }
@@ -145,22 +143,22 @@
         Connection::new(TcpStream::connect(self.listen).unwrap())
     }
 
-    /// The program's standard error up to some text.
+    /// Reads the program's standard error until it contains `until`.
     pub fn read_stderr_until(&mut self, until: &str) -> String {
         let stderr = self.child.stderr.as_mut().unwrap();
         let mut printed = String::new();
         while !printed.contains(until) {
             let mut bytes = [0; 1024];
             let count = stderr.read(&mut bytes).unwrap();
-            assert!(count > 0, "the program ended: {printed}");
+            assert!(count > 0, "program exited: {printed}");
             printed.push_str(&String::from_utf8_lossy(&bytes[..count]));
         }
         printed
     }
 
     pub fn send_signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
-        assert!(sent.success());
+        let status = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
+        assert!(status.success());
     }
 }
 
@@ -172,14 +170,14 @@
     Connection::new(listener.accept().unwrap().0)
 }
 
-/// From now on connections to a listener never come up, as if its machine had vanished: its queue takes one
-/// connection, and that one is returned.
+/// Makes headers connections to a listener hang, as if its machine had vanished: its backlog takes one connection,
+/// which is returned.
 pub fn make_unreachable(listener: &TcpListener) -> TcpStream {
     rustix::net::listen(listener, 0).unwrap();
     TcpStream::connect(listener.local_addr().unwrap()).unwrap()
 }
 
-/// A line of the journal.
+/// A target of a journal event.
 pub fn journal_target(number: usize, uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address, "az": "east", "model": "std", "pod_group": number,
            "state": state, "capacity_hint": 1, "boot_ms": 0})
@@ -196,7 +194,7 @@
     command.env("EDGE_CONFIG", &path).stderr(Stdio::piped()).spawn().unwrap()
 }
 
-/// A configuration for exchange 0 with these on its list.
+/// A configuration for exchange 0 whose initial journal lists these targets.
 pub fn test_config(listen: SocketAddr, journal: SocketAddr, targets: &[Value]) -> Value {
     json!({
         "name": "n0", "listen": listen, "seed": "8c1f30d27a5be964", "journal": journal,
@@ -216,7 +214,7 @@
     })
 }
 
-/// Starts the program, which is exchange 0, with the others on its list, and waits until it passes a test.
+/// Starts the program as exchange 0 with the other exchanges in its journal, and waits until it answers a test.
 pub fn start_program(name: &str, journal: SocketAddr, others: &[&TcpListener]) -> Program {
     let listen = bind_listener().local_addr().unwrap();
     let targets = others.iter().enumerate().map(|(i, l)| {
@@ -228,12 +226,12 @@
     let config = test_config(listen, journal, &targets);
     let child = spawn_program(&config.to_string(), name);
     let mut program = Program { child, listen, config, path: config_path(name) };
-    let up = std::iter::repeat_with(|| {
+    let connections = std::iter::repeat_with(|| {
         std::thread::sleep(Duration::from_millis(5));
-        assert!(program.child.try_wait().unwrap().is_none(), "the program ended");
+        assert!(program.child.try_wait().unwrap().is_none(), "program exited at the start");
         TcpStream::connect(listen)
     });
-    let stream = up.take(4000).find_map(Result::ok).expect("the program listens");
+    let stream = connections.take(4000).find_map(Result::ok).expect("the program to listen");
     Connection::new(stream).expect_nothing_else();
     program
 }
