--- a/dillhold/src/engine/discovery.rs
+++ b/dillhold/src/engine/discovery.rs
@@ -79,8 +79,8 @@
         self.address
     }
 
-    /// Whether a request is outstanding. A second one would never go away, as each answer is
-    /// followed by the next request.
+    /// Whether a request is outstanding. A second one would never go away, as each answer is followed by the next
+    /// request.
     pub fn is_awaiting_answer(&self) -> bool {
         matches!(self.state, State::AwaitingAnswer { .. })
     }
@@ -93,11 +93,11 @@
 
     /// Records an answer. Returns the delay of the next request: none, except after an early answer without events or
     /// after one with events missing, where an immediate request would make a busy loop.
-    pub fn answer_received(&mut self, now: Nanos, has_news: bool, is_complete: bool) -> Nanos {
+    pub fn answer_received(&mut self, now: Nanos, has_events: bool, is_complete: bool) -> Nanos {
         let early = matches!(self.state, State::AwaitingAnswer { since } if now < since + REQUESTED_WAIT / 2);
         self.state = State::Idle;
         self.failures = 0;
-        if !is_complete || early && !has_news {
+        if !is_complete || early && !has_events {
             FIRST_RETRY_DELAY
         } else {
             0
@@ -141,7 +141,7 @@
     #[test]
     fn next_request_is_immediate_unless_answer_was_early_and_empty_or_incomplete() {
         let mut discovery = discovery();
-        for (after, has_news, is_complete, delay) in [
+        for (after, has_events, is_complete, delay) in [
             (REQUESTED_WAIT, false, true, 0),
             (MS, true, true, 0),
             (MS, false, true, FIRST_RETRY_DELAY),
@@ -149,7 +149,11 @@
         ] {
             discovery.request_sent(0);
             assert!(discovery.is_awaiting_answer());
-            assert_eq!(discovery.answer_received(after, has_news, is_complete), delay, "{after} {has_news}");
+            assert_eq!(
+                discovery.answer_received(after, has_events, is_complete),
+                delay,
+                "{after} {has_events}"
+            );
             assert!(!discovery.is_awaiting_answer());
         }
     }
--- a/dillhold/src/engine/exchanges.rs
+++ b/dillhold/src/engine/exchanges.rs
@@ -87,9 +87,9 @@
             if link.is_some_and(|l| l.address != address) {
                 self.drop_link(id);
             }
-            if let Entry::Vacant(place) = self.links.entry(id) {
+            if let Entry::Vacant(entry) = self.links.entry(id) {
                 let session = ExchangeSession::default();
-                place.insert(ExchangeLink {
+                entry.insert(ExchangeLink {
                     session,
                     address,
                     conn: None,
--- a/dillhold/src/engine/journal.rs
+++ b/dillhold/src/engine/journal.rs
@@ -45,7 +45,7 @@
 
     pub(super) fn handle_journal_answer(&mut self, answer: directory::JournalAnswer, keep_connection: bool) {
         self.calls.counters.increment("taken journal answers");
-        let has_news = !answer.entries.is_empty();
+        let has_events = !answer.entries.is_empty();
         let applied = self.calls.directory.apply(answer);
         let is_complete = applied.is_ok();
         if !is_complete {
@@ -57,7 +57,7 @@
             let conn_id = self.journal_client.conn.take();
             conn_id.and_then(|conn_id| self.remove_conn(conn_id));
         }
-        let delay = self.journal_client.discovery.answer_received(self.now, has_news, is_complete);
+        let delay = self.journal_client.discovery.answer_received(self.now, has_events, is_complete);
         self.calls.deadlines.add(self.now + delay, Deadline::Engine(EngineDeadline::PollJournal));
     }
 
--- a/dillhold/src/engine/leave.rs
+++ b/dillhold/src/engine/leave.rs
@@ -32,7 +32,11 @@
         if self.shutdown.phase() != Phase::GracePeriod {
             return;
         }
-        tracing::info!(open = self.calls.open_set_ups(), callers = self.callers.count, "leaving");
+        tracing::info!(
+            open = self.calls.open_set_ups(),
+            callers = self.callers.count,
+            "listener closed: leaving"
+        );
         self.shutdown.listener_closed();
         self.calls.refuse_new_set_ups();
         self.outputs.push_back(Output::StopListening);
@@ -79,7 +83,11 @@
 
     pub(super) fn stop(&mut self) {
         if self.shutdown.set_stopped() {
-            tracing::info!(open = self.calls.open_set_ups(), callers = self.callers.count, "left");
+            tracing::info!(
+                open = self.calls.open_set_ups(),
+                callers = self.callers.count,
+                "shutdown complete"
+            );
             self.calls.close_intervals(self.now, true);
             self.outputs.push_back(Output::Stop);
         }
--- a/dillhold/src/engine/mod.rs
+++ b/dillhold/src/engine/mod.rs
@@ -1,7 +1,7 @@
 //! The call controller without I/O: it uses neither sockets nor the system clock.
 //!
 //! [`Engine`] is given the time and connection events, and returns socket operations as [`Output`]s; connections
-//! are identified by [`ConnId`]. All connection policy lives here: admission and eviction of callers, timeouts for
+//! are identified by [`ConnId`]. All connection policy is here: admission and eviction of callers, timeouts for
 //! silence and incomplete messages, reconnects to exchanges, requests to the journal, how far an attempt had
 //! progressed when its connection failed, closing connections when memory is short, and the shutdown sequence.
 //! Bytes are read directly into the sessions' buffers ([`Engine::read_buffer`], [`Engine::bytes_read`]) and written
@@ -12,7 +12,7 @@
 //! 1. [`Engine::begin_turn`] with the time, then one call for each event;
 //! 2. [`Engine::handle_deadlines`];
 //! 3. until [`Engine::is_turn_complete`]: [`Engine::run_commands`], then [`Engine::poll_output`] until it is empty,
-//!    then for each connection of [`Engine::poll_write`] write what the socket takes and call [`Engine::flushed`];
+//!    then for each connection of [`Engine::poll_write`] write what the socket accepts and call [`Engine::flushed`];
 //! 4. [`Engine::end_turn`].
 
 mod callers;
--- a/dillhold/tests/common/mod.rs
+++ b/dillhold/tests/common/mod.rs
@@ -37,9 +37,9 @@
     /// Reads a message, for which `parse` returns its value and its length once it is complete.
     fn read_message<T>(&mut self, parse: impl Fn(&[u8]) -> Option<(T, usize)>) -> T {
         loop {
-            if let Some((found, taken)) = parse(self.read_buffer.unread()) {
-                self.read_buffer.consume(taken);
-                return found;
+            if let Some((message, length)) = parse(self.read_buffer.unread()) {
+                self.read_buffer.consume(length);
+                return message;
             }
             let count = self.stream.read(self.read_buffer.unfilled()).expect("a message before the timeout");
             assert!(count > 0, "connection closed instead of a message");
@@ -50,9 +50,9 @@
     /// Reads a binary message.
     pub fn read_binary(&mut self) -> ReceivedMessage {
         self.read_message(|bytes| {
-            let (m, taken) = binary::parse(bytes).unwrap()?;
+            let (m, length) = binary::parse(bytes).unwrap()?;
             let description = m.parameter(binary::param::DESCRIPTION).unwrap_or_default().to_vec();
-            Some(((m.kind, m.call_id, m.cause().unwrap_or(0), description), taken))
+            Some(((m.kind, m.call_id, m.cause().unwrap_or(0), description), length))
         })
     }
 
@@ -60,9 +60,9 @@
     /// message.
     pub fn read_sip(&mut self, start: &str) -> (u64, u32, Vec<u8>) {
         let (id, number, text) = self.read_message(|bytes| {
-            let (m, taken) = sip::parse(bytes).unwrap()?;
+            let (m, length) = sip::parse(bytes).unwrap()?;
             let number = m.cseq().expect("a CSeq").0;
-            Some(((m.call_id().expect("a Call-ID"), number, bytes[..taken].to_vec()), taken))
+            Some(((m.call_id().expect("a Call-ID"), number, bytes[..length].to_vec()), length))
         });
         let printable = String::from_utf8_lossy(&text);
         assert!(printable.starts_with(start), "expected {start}, got {printable}");
@@ -170,7 +170,7 @@
     Connection::new(listener.accept().unwrap().0)
 }
 
-/// Makes headers connections to a listener hang, as if its machine had vanished: its backlog takes one connection,
+/// Makes further connections to a listener hang, as if its machine had vanished: its backlog takes one connection,
 /// which is returned.
 pub fn make_unreachable(listener: &TcpListener) -> TcpStream {
     rustix::net::listen(listener, 0).unwrap();
--- a/dillhold/tests/engine.rs
+++ b/dillhold/tests/engine.rs
@@ -349,8 +349,8 @@
     assert!(!harness.is_closed(journal), "the requested wait of 2 s ended 1.3 s ago");
     harness.receive(journal, b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"pos\":1,\"entries\":[]}");
     harness.advance(5 * MS);
-    let asked = harness.take_written(journal);
-    assert!(asked.ends_with(b"\r\n\r\n") && starts_with_text(&asked, "GET /journal?tail=1&"));
+    let request = harness.take_written(journal);
+    assert!(request.ends_with(b"\r\n\r\n") && starts_with_text(&request, "GET /journal?tail=1&"));
     harness.advance(3_400 * MS);
     assert!(harness.is_closed(journal));
     harness.advance(500 * MS);
@@ -404,9 +404,9 @@
 fn take_notifications(harness: &mut EngineHarness, caller: ConnId) -> Vec<(u8, u64, Option<u8>)> {
     let bytes = harness.take_written(caller);
     let (mut rest, mut notifications) = (&bytes[..], Vec::new());
-    while let Some((message, taken)) = binary::parse(rest).unwrap() {
+    while let Some((message, length)) = binary::parse(rest).unwrap() {
         notifications.push((message.kind, message.call_id, message.cause()));
-        rest = &rest[taken..];
+        rest = &rest[length..];
     }
     notifications
 }
@@ -452,11 +452,11 @@
     let checks = advance_with_port_up(&mut harness, 1, 30_000 * MS);
     assert_eq!(take_notifications(&mut harness, caller), []);
     assert!((4..=15).contains(&checks), "{checks} checks in 30 s");
-    let dialled = harness.outputs.iter().filter_map(|o| match o {
+    let connections = harness.outputs.iter().filter_map(|o| match o {
         Output::Connect { conn, to } if to.port() == 1 => Some(*conn),
         _ => None,
     });
-    assert_eq!(dialled.filter(|conn| !harness.is_closed(*conn)).count(), 2, "one check at a time");
+    assert_eq!(connections.filter(|conn| !harness.is_closed(*conn)).count(), 2, "one check at a time");
     // After the release of the only call the exchange is not checked any more.
     let newest = harness.last_connect_to(1).unwrap();
     harness.receive(newest, &bye_request(7));
@@ -581,10 +581,10 @@
     let again = harness.establish(1);
     harness.advance(10 * MS);
     assert!(!harness.is_closed(again));
-    let said = harness.take_written(again);
-    let byes = said.windows(4).filter(|w| w == b"BYE ").count();
+    let written = harness.take_written(again);
+    let byes = written.windows(4).filter(|w| w == b"BYE ").count();
     assert_eq!(byes, MAX_REPEATED, "as many as the unsent bytes of a connection allow");
-    assert!(said.len() <= 256 * 1024, "{} bytes at once", said.len());
+    assert!(written.len() <= 256 * 1024, "{} bytes at once", written.len());
 }
 
 #[test]
