--- a/dillhold/tests/common/mod.rs
+++ b/dillhold/tests/common/mod.rs
@@ -13,6 +13,21 @@
 
 pub const DESCRIPTION: &[u8] = b"5f716a7cc1d37084\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0\r\n\xff\0";
 
+/// The kinds of binary messages. Literal numbers, so that the tests also check those of the codec.
+pub const SET_UP: u8 = 1;
+pub const ANSWER: u8 = 9;
+pub const RELEASE: u8 = 12;
+pub const TEST: u8 = 52;
+pub const TEST_RESPONSE: u8 = 53;
+
+/// The parameters of binary messages, literal as well.
+pub const PARAM_CLASS: u8 = 100;
+pub const PARAM_TIMEOUT_MS: u8 = 101;
+pub const PARAM_CALLED_NUMBER: u8 = 104;
+pub const PARAM_ATTRIBUTES: u8 = 105;
+pub const PARAM_CAUSE: u8 = 114;
+pub const PARAM_DESCRIPTION: u8 = 115;
+
 /// A binary message: its kind, call id, cause (0 if it has none) and description.
 pub type ReceivedMessage = (u8, u64, u8, Vec<u8>);
 
@@ -86,14 +101,14 @@
     /// Sends a set-up for exchange 1 with a timeout of 3 s and exchange 2 as the advised tandem.
     pub fn send_set_up(&mut self, id: u64) {
         self.send_binary(
-            1,
+            SET_UP,
             id,
             &[
-                (100, b"view"),
-                (101, b"3000"),
-                (104, b"7f3a9c21e0b4d655"),
-                (105, b"dest:1;width:1;via:2"),
-                (115, DESCRIPTION),
+                (PARAM_CLASS, b"view"),
+                (PARAM_TIMEOUT_MS, b"3000"),
+                (PARAM_CALLED_NUMBER, b"7f3a9c21e0b4d655"),
+                (PARAM_ATTRIBUTES, b"dest:1;width:1;via:2"),
+                (PARAM_DESCRIPTION, DESCRIPTION),
             ],
         );
     }
@@ -116,8 +131,8 @@
 
     /// Checks that no message is pending: the next one is the response to a test status now.
     pub fn expect_nothing_else(&mut self) {
-        self.send_binary(52, 99, &[(114, &[0])]);
-        assert_eq!(self.read_binary(), (53, 99, 1, Vec::new()));
+        self.send_binary(TEST, 99, &[(PARAM_CAUSE, &[0])]);
+        assert_eq!(self.read_binary(), (TEST_RESPONSE, 99, 1, Vec::new()));
     }
 }
 
--- a/dillhold/tests/program.rs
+++ b/dillhold/tests/program.rs
@@ -25,7 +25,7 @@
     let (_, number, _) = exchange.read_sip("INVITE ");
     exchange.send_sip("SIP/2.0 200 OK", id, (number, "INVITE"), "", DESCRIPTION);
     exchange.read_sip("ACK ");
-    assert_eq!(caller.read_binary(), (9, id, 0, DESCRIPTION.to_vec()));
+    assert_eq!(caller.read_binary(), (ANSWER, id, 0, DESCRIPTION.to_vec()));
 }
 
 #[test]
@@ -46,11 +46,11 @@
     exchange.send(&answer);
     caller.expect_nothing_else();
     exchange.send(b"cde");
-    assert_eq!(caller.read_binary(), (9, id, 0, b"abcde".to_vec()));
+    assert_eq!(caller.read_binary(), (ANSWER, id, 0, b"abcde".to_vec()));
     exchange.read_sip("ACK ");
     exchange.send_sip("BYE sip:x@net SIP/2.0", id, (2, "BYE"), "Reason: Q.850;cause=41\r\n", b"");
     exchange.read_sip("SIP/2.0 200 ");
-    assert_eq!(caller.read_binary(), (12, id, 41, vec![]));
+    assert_eq!(caller.read_binary(), (RELEASE, id, 41, vec![]));
     caller.expect_nothing_else();
 }
 
@@ -62,11 +62,11 @@
     let mut other = program.connect_caller();
     other.expect_nothing_else();
     drop(caller);
-    other.send_binary(12, 1, &[(114, &[16])]);
+    other.send_binary(RELEASE, 1, &[(PARAM_CAUSE, &[16])]);
     let (id, _, text) = exchange.read_sip("BYE ");
     assert!(id == 1 && String::from_utf8_lossy(&text).contains("Reason: Q.850;cause=16"));
     exchange.send_sip("BYE sip:x@net SIP/2.0", 2, (2, "BYE"), "Reason: Q.850;cause=16\r\n", b"");
-    assert_eq!(other.read_binary(), (12, 2, 16, vec![]));
+    assert_eq!(other.read_binary(), (RELEASE, 2, 16, vec![]));
 }
 
 #[test]
@@ -74,7 +74,7 @@
     let (_program, mut caller, mut exchange, _, _listeners) = start_with_peers("gives-up");
     caller.send_set_up(5);
     exchange.read_sip("INVITE ");
-    caller.send_binary(12, 5, &[(114, &[16])]);
+    caller.send_binary(RELEASE, 5, &[(PARAM_CAUSE, &[16])]);
     assert_eq!(exchange.read_sip("CANCEL ").0, 5);
     exchange.send_sip("SIP/2.0 200 OK", 5, (1, "CANCEL"), "", b"");
     exchange.send_sip("SIP/2.0 200 OK", 5, (1, "INVITE"), "", DESCRIPTION);
@@ -101,7 +101,7 @@
     // The exchange may use any number.
     first.send_sip("SIP/2.0 200 OK", 6, (1, "INVITE"), "", DESCRIPTION);
     first.read_sip("ACK ");
-    assert_eq!(caller.read_binary(), (9, 6, 0, DESCRIPTION.to_vec()));
+    assert_eq!(caller.read_binary(), (ANSWER, 6, 0, DESCRIPTION.to_vec()));
 }
 
 #[test]
@@ -111,14 +111,27 @@
     exchange.read_sip("INVITE ");
     exchange.send_sip("SIP/2.0 486 Busy", 7, (1, "INVITE"), "X-Cause: lines_busy\r\n", b"");
     let (kind, id, cause, _) = caller.read_binary();
-    assert!(kind == 12 && id == 7 && [34, 42, 102].contains(&cause), "{kind} {id} {cause}");
+    assert!(kind == RELEASE && id == 7 && [34, 42, 102].contains(&cause), "{kind} {id} {cause}");
     caller.expect_nothing_else();
     // An unknown class, and a set-up without attributes.
-    caller.send_binary(1, 8, &[(100, b"none"), (101, b"900"), (104, b"1"), (105, b"dest:1")]);
-    caller.send_binary(1, 9, &[(100, b"view"), (101, b"900"), (104, b"1"), (200, b"odd")]);
+    caller.send_binary(
+        SET_UP,
+        8,
+        &[
+            (PARAM_CLASS, b"none"),
+            (PARAM_TIMEOUT_MS, b"900"),
+            (PARAM_CALLED_NUMBER, b"1"),
+            (PARAM_ATTRIBUTES, b"dest:1"),
+        ],
+    );
+    caller.send_binary(
+        SET_UP,
+        9,
+        &[(PARAM_CLASS, b"view"), (PARAM_TIMEOUT_MS, b"900"), (PARAM_CALLED_NUMBER, b"1"), (200, b"odd")],
+    );
     for id in [8, 9] {
         let (kind, call_id, cause, _) = caller.read_binary();
-        assert!(kind == 12 && call_id == id && ![34, 42, 102].contains(&cause));
+        assert!(kind == RELEASE && call_id == id && ![34, 42, 102].contains(&cause));
     }
     caller.expect_nothing_else();
 }
@@ -136,13 +149,13 @@
     assert!(id == 11 && number == 2);
     assert!(lost_at.elapsed() >= Duration::from_millis(300));
     again.send_sip("SIP/2.0 200 OK", 11, (2, "INVITE"), "", b"x");
-    assert_eq!(caller.read_binary(), (9, 11, 0, b"x".to_vec()));
+    assert_eq!(caller.read_binary(), (ANSWER, 11, 0, b"x".to_vec()));
     let [_journal, exchange_listener, _other] = listeners;
     drop(exchange_listener);
     drop(again);
     let mut releases = [caller.read_binary(), caller.read_binary()];
     releases.sort();
-    assert_eq!(releases, [(12, 10, 41, vec![]), (12, 11, 41, vec![])]);
+    assert_eq!(releases, [(RELEASE, 10, 41, vec![]), (RELEASE, 11, 41, vec![])]);
 }
 
 #[test]
@@ -170,7 +183,7 @@
     exchange.wait_for_close();
     assert_eq!(again.read_sip("INVITE ").1, 2, "the first attempt may have run, and the call has time left");
     again.send_sip("SIP/2.0 200 OK", 21, (2, "INVITE"), "", b"whole");
-    assert_eq!(caller.read_binary(), (9, 21, 0, b"whole".to_vec()));
+    assert_eq!(caller.read_binary(), (ANSWER, 21, 0, b"whole".to_vec()));
 }
 
 /// Guards against a connection that stays open but sends nothing: it would swallow every set-up to its exchange and
@@ -184,10 +197,10 @@
     let mut again = accept(&listeners[1]);
     again.send_sip("BYE sip:x@net SIP/2.0", 22, (2, "BYE"), "Reason: Q.850;cause=16\r\n", b"");
     again.read_sip("SIP/2.0 200 ");
-    assert_eq!(caller.read_binary(), (12, 22, 16, vec![]));
+    assert_eq!(caller.read_binary(), (RELEASE, 22, 16, vec![]));
     assert_eq!(again.read_sip("INVITE ").0, 23);
     again.send_sip("SIP/2.0 200 OK", 23, (2, "INVITE"), "", b"v");
-    assert_eq!(caller.read_binary(), (9, 23, 0, b"v".to_vec()));
+    assert_eq!(caller.read_binary(), (ANSWER, 23, 0, b"v".to_vec()));
 }
 
 /// While discovery is down nothing else reports that a machine has vanished, and callers would keep ended calls.
@@ -196,7 +209,7 @@
     let (_program, mut caller, mut vanished, _other, listeners) = start_with_peers("vanishes");
     establish_call(&mut caller, &mut vanished, 31);
     let _queue = make_unreachable(&listeners[1]);
-    assert_eq!(caller.read_binary(), (12, 31, 41, vec![]));
+    assert_eq!(caller.read_binary(), (RELEASE, 31, 41, vec![]));
     caller.expect_nothing_else();
 }
 
@@ -207,7 +220,7 @@
     caller.stream.shutdown(std::net::Shutdown::Write).unwrap();
     let (_, number, _) = exchange.read_sip("INVITE ");
     exchange.send_sip("SIP/2.0 200 OK", 13, (number, "INVITE"), "", b"y");
-    assert_eq!(caller.read_binary(), (9, 13, 0, b"y".to_vec()));
+    assert_eq!(caller.read_binary(), (ANSWER, 13, 0, b"y".to_vec()));
     assert_eq!(caller.stream.read(&mut [0; 8]).unwrap(), 0, "the connection is closed after the answer");
 }
 
@@ -217,7 +230,7 @@
     let mut slow = program.connect_caller();
     slow.stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let mut tests = Vec::new();
-    (0..4096).for_each(|id| dillhold::codec::binary::write(&mut tests, 52, id, &[(114, &[0])]));
+    (0..4096).for_each(|id| dillhold::codec::binary::write(&mut tests, TEST, id, &[(PARAM_CAUSE, &[0])]));
     let blocked = (0..2000).any(|_| slow.stream.write_all(&tests).is_err());
     assert!(blocked, "the program read everything and buffers the answers");
     establish_call(&mut caller, &mut exchange, 20);
@@ -228,8 +241,8 @@
     let (_program, mut caller, mut first, mut second, _listeners) = start_with_peers("before");
     first.send_sip("BYE sip:x@net SIP/2.0", 14, (2, "BYE"), "Reason: Q.850;cause=16\r\n", b"");
     first.read_sip("SIP/2.0 200 ");
-    assert_eq!(caller.read_binary(), (12, 14, 16, vec![]));
-    caller.send_binary(12, 15, &[(114, &[16])]);
+    assert_eq!(caller.read_binary(), (RELEASE, 14, 16, vec![]));
+    caller.send_binary(RELEASE, 15, &[(PARAM_CAUSE, &[16])]);
     assert_eq!([first.read_sip("BYE ").0, second.read_sip("BYE ").0], [15, 15]);
 }
 
@@ -270,7 +283,7 @@
     exchange.read_sip("INVITE ");
     for (id, connection) in [(17, &mut caller), (18, &mut late)] {
         exchange.send_sip("SIP/2.0 200 OK", id, (1, "INVITE"), "", b"z");
-        assert_eq!(connection.read_binary(), (9, id, 0, b"z".to_vec()));
+        assert_eq!(connection.read_binary(), (ANSWER, id, 0, b"z".to_vec()));
     }
     assert!(program.child.wait().unwrap().success());
     let mut printed = String::new();
@@ -290,10 +303,10 @@
     for (id, signal) in [(42, "-TERM"), (43, "-INT"), (44, "-HUP")] {
         program.send_signal(signal);
         caller.send_set_up(id);
-        assert_eq!(caller.read_binary(), (12, id, 42, vec![]), "at once, not at the exit");
+        assert_eq!(caller.read_binary(), (RELEASE, id, 42, vec![]), "at once, not at the exit");
     }
     exchange.send_sip("BYE sip:x@net SIP/2.0", 41, (2, "BYE"), "Reason: Q.850;cause=16\r\n", b"");
-    assert_eq!(caller.read_binary(), (12, 41, 16, vec![]));
+    assert_eq!(caller.read_binary(), (RELEASE, 41, 16, vec![]));
     caller.wait_for_close();
     assert!(program.child.wait().unwrap().success());
 }
@@ -318,12 +331,18 @@
     for id in 50..62 {
         let mut caller = program.connect_caller();
         caller.send_binary(
-            1,
+            SET_UP,
             id,
-            &[(100, b"none"), (101, b"900"), (104, b"1"), (105, b"dest:1"), (115, b"d")],
+            &[
+                (PARAM_CLASS, b"none"),
+                (PARAM_TIMEOUT_MS, b"900"),
+                (PARAM_CALLED_NUMBER, b"1"),
+                (PARAM_ATTRIBUTES, b"dest:1"),
+                (PARAM_DESCRIPTION, b"d"),
+            ],
         );
         caller.stream.shutdown(std::net::Shutdown::Write).unwrap();
-        assert_eq!(caller.read_binary(), (12, id, 41, vec![]));
+        assert_eq!(caller.read_binary(), (RELEASE, id, 41, vec![]));
     }
 }
 
