--- a/rehearsal/src/script.rs
+++ b/rehearsal/src/script.rs
@@ -1,21 +1,21 @@
-//! Scripts: an incident written down in JSON5. Unknown keys are refused, and every error names the file, the
-//! place and the key, so that a script is never played as something else than it says.
+//! Scripts: the description of a rehearsal in JSON5, with the simulated world and a timeline of events. Unknown keys
+//! are errors, and every error names file, position and key, so that a misspelt script is never run with defaults.
 
 use std::path::Path;
 
 use serde::Deserialize;
 use settings::{key, Misread, Step};
 
-/// A script is played no longer than this, in seconds.
-const LONGEST: f64 = 24.0 * 3600.0;
+/// Maximum for all durations in a script.
+const MAX_DURATION_SECONDS: f64 = 24.0 * 3600.0;
 
-/// Seconds that a node drains, and that a processor or controller is down, where the script does not say.
-pub const DRAIN: f64 = 8.0;
-/// See [`DRAIN`].
-pub const DOWN: f64 = 1.0;
+/// Time that a node drains if the event has no `drain`.
+pub const DEFAULT_DRAIN_SECONDS: f64 = 8.0;
+/// Time that a processor or controller is down if the event has no `down`.
+pub const DEFAULT_DOWN_SECONDS: f64 = 1.0;
 
-/// A number of a stated kind, checked where it is read so that the error has its place.
-macro_rules! figure {
+/// Defines a number type whose range is checked during parsing, so that errors carry the position in the file.
+macro_rules! checked_number {
     ($(#[$doc:meta])* $name:ident, $test:expr, $text:literal) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Deserialize)]
@@ -32,64 +32,64 @@
     };
 }
 
-figure!(
-    /// A span or a moment in seconds, zero or above and no longer than a day.
-    Seconds, |v| (0.0..=LONGEST).contains(&v), "not between 0 and 86400 seconds"
+checked_number!(
+    /// A duration or a time in seconds, from 0 to one day.
+    Seconds, |v| (0.0..=MAX_DURATION_SECONDS).contains(&v), "not between 0 and 86400 seconds"
 );
-figure!(
-    /// A part of a whole: above 0, at most 1.
-    Share, |v| v > 0.0 && v <= 1.0, "no share: above 0 and at most 1 is needed"
+checked_number!(
+    /// A share of a whole, above 0 and at most 1.
+    Share, |v| v > 0.0 && v <= 1.0, "no share: must be above 0 and at most 1"
 );
-figure!(
-    /// A factor above zero.
-    Factor, |v| v > 0.0 && v <= 1e6, "no factor: above 0 and at most 1000000 is needed"
+checked_number!(
+    /// A factor above 0.
+    Factor, |v| v > 0.0 && v <= 1e6, "no factor: must be above 0 and at most 1000000"
 );
-figure!(
-    /// A figure that is zero or above.
-    Amount, |v| (0.0..=1e9).contains(&v), "negative or no number"
+checked_number!(
+    /// A number that is 0 or above.
+    Amount, |v| (0.0..=1e9).contains(&v), "not between 0 and 1000000000"
 );
 
-/// One class of call.
+/// A class of calls.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name on the wire.
+    /// Name of the class in messages: letters, digits, `-` and `_`.
     pub name: String,
-    /// Its part of the calls, against the other classes'.
+    /// Share of this class in all calls, relative to the shares of the other classes.
     pub share: Factor,
-    /// Worth of a call that stands in time and holds to its end.
+    /// Worth of a call that stands in time and is not cut.
     pub worth: Amount,
-    /// Mean length of a call, in seconds (exponential).
+    /// Mean duration of a call in seconds (exponentially distributed).
     pub hold: Factor,
-    /// Wanted to stand within so many seconds of the first try.
-    #[serde(default = "aim")]
+    /// Time in seconds from the first try within which a call is to stand.
+    #[serde(default = "default_aim")]
     pub aim: Factor,
-    /// Given up by its caller so many seconds after the first try.
-    #[serde(default = "deadline")]
+    /// Time in seconds from the first try after which the caller gives up.
+    #[serde(default = "default_deadline")]
     pub deadline: Factor,
-    /// Share of the worth that a call earns that stands after the aim.
-    #[serde(default = "late_worth")]
+    /// Share of its worth that a call earns if it stands later than `aim`.
+    #[serde(default = "default_late_worth")]
     pub late_worth: Amount,
-    /// Circuits that a call takes of each group.
-    #[serde(default = "one")]
+    /// Number of circuits that a call takes on each trunk group.
+    #[serde(default = "default_width")]
     pub width: u32,
 }
 
-fn aim() -> Factor {
+fn default_aim() -> Factor {
     Factor(1.2)
 }
-fn deadline() -> Factor {
+fn default_deadline() -> Factor {
     Factor(9.0)
 }
-fn late_worth() -> Amount {
+fn default_late_worth() -> Amount {
     Amount(0.25)
 }
-fn one() -> u32 {
+fn default_width() -> u32 {
     1
 }
 
-/// Declares a part of a script whose keys all have defaults.
-macro_rules! part {
+/// Defines a section of a script in which all keys have defaults.
+macro_rules! section {
     ($(#[$doc:meta])* $name:ident { $($(#[$field_doc:meta])* $field:ident: $type:ty = $default:expr,)* }) => {
         $(#[$doc])*
         #[derive(Clone, Debug, Deserialize)]
@@ -104,181 +104,184 @@
     };
 }
 
-part! {
-    /// How callers behave.
+section! {
+    /// Behaviour of callers.
     Callers {
-        /// Further tries after the first that came to nothing.
+        /// Maximum number of further tries after a failed first try.
         redials: u32 = 3,
-        /// Seconds before a caller dials again.
+        /// Time in seconds before a caller redials, unless it follows retry advice.
         pause: Seconds = Seconds(1.1),
-        /// Share of callers that heed "come back after"; the others dial again as they like.
+        /// Share of callers that follow retry advice; the others redial after `pause`.
         heed: Amount = Amount(0.65),
-        /// A try is given up after this share of its class's give-up time.
+        /// Timeout of a single try, as a share of the class's `deadline`.
         patience: Share = Share(0.35),
-        /// Share of callers whose call was cut that set it up again.
+        /// Share of callers that set up a call again, once, after it was cut.
         cut_again: Amount = Amount(0.0),
-        /// Connections that the callers of one exchange keep to its controller.
+        /// Number of connections that the callers of an exchange share to its controller.
         connections: u32 = 4,
-        /// Share of callers that come on a connection of their own and close its writing side behind the set-up.
+        /// Share of callers that use a connection of their own and shut down its sending direction after the set-up.
         half_close: Amount = Amount(0.0),
-        /// Share of callers that come on a connection of their own and write the set-up in pieces.
+        /// Share of callers that use a connection of their own and send the set-up in pieces.
         pieces: Amount = Amount(0.0),
     }
 }
 
-part! {
-    /// The processor of a results node: one line. Work is in set-ups.
+section! {
+    /// The processor of a node, with a single FIFO queue. Work is measured in set-ups.
     Processor {
-        /// Share of the time that it is busy at the planned load, all calls direct.
+        /// Utilization at the planned load if all calls are direct.
         use_at_plan: Share = Share(0.85),
-        /// Work of looking at a call, also when it is refused.
+        /// Work of examining a call, also if it is refused.
         look: Amount = Amount(0.22),
         /// Work of turning a set-up away.
         refusal: Amount = Amount(0.2),
-        /// Work of a repeated set-up.
+        /// Work of a retransmitted set-up.
         repeat: Amount = Amount(0.45),
         /// Work of an answer, and of a release.
         answer: Amount = Amount(0.37),
-        /// Set-ups are turned away once the wait passes this, in seconds.
+        /// Set-ups are turned away while the queueing delay is longer than this, in seconds.
         turn_away: Factor = Factor(3.0),
-        /// A set-up that waits is repeated after this, then at gaps that double; 0: never.
+        /// Time in seconds after which an unprocessed set-up is first retransmitted; the interval then doubles each
+        /// time. 0 disables retransmission.
         repeat_after: Seconds = Seconds(0.5),
-        /// Capacity of a processor just started, as a share of the full one.
+        /// Capacity just after a start, as a share of the full capacity.
         cold_from: Share = Share(0.34),
-        /// Seconds until it is warm.
+        /// Time in seconds until the capacity has grown to the full one.
         cold_for: Seconds = Seconds(15.0),
-        /// Past this multiple of what it can do ...
+        /// A cold processor fails and stays down when the set-ups received exceed this multiple of its capacity, over
+        /// a window of `falls_within`.
         falls_past: Factor = Factor(2.0),
-        /// ... for this time in seconds, a cold processor falls over and stays down.
+        /// Length in seconds of the window for `falls_past`.
         falls_within: Factor = Factor(2.0),
     }
 }
 
-part! {
-    /// The trunk groups, each shared by both ends.
+section! {
+    /// The trunk groups, whose circuits are shared by both ends.
     Groups {
-        /// Spread of the traffic between the pairs (coefficient of variation).
+        /// Variation of the planned traffic between pairs of nodes (coefficient of variation).
         pair_spread: Amount = Amount(0.5),
-        /// How far the plan missed the traffic, pair by pair.
+        /// Deviation of the actual from the planned traffic of each pair (coefficient of variation).
         missed: Amount = Amount(0.5),
-        /// Circuits beyond a group's planned load, in square roots of it.
+        /// Circuits of a group beyond its planned load in erlang, in square roots of that load.
         spare_roots: Amount = Amount(2.0),
-        /// Where calls go drifts by so much ...
+        /// Drift of the traffic distribution over destinations (coefficient of variation).
         drift: Amount = Amount(0.45),
-        /// ... from one such span of seconds to the next.
+        /// Interval in seconds at which a new drift is drawn.
         drift_every: Factor = Factor(13.5),
         /// Traffic inside a region, as a multiple of that between regions.
         local: Factor = Factor(1.8),
-        /// Whether nodes carry calls in transit; if not, they turn them back at once.
+        /// Whether nodes carry calls in transit; otherwise they turn them back at once.
         transit: bool = true,
-        /// Seconds after a set-up was called off until its circuits are free.
+        /// Time in seconds from the cancellation of a set-up until its circuits are free.
         frees_after: Seconds = Seconds(0.15),
     }
 }
 
-part! {
-    /// Delays between nodes, one way, in seconds.
+section! {
+    /// One-way delays between nodes, in seconds.
     Network {
         /// Within a region.
         same: Seconds = Seconds(0.0055),
         /// Between regions.
         cross: Seconds = Seconds(0.019),
-        /// Spread of a delay, as a share of it.
+        /// Standard deviation of a delay, as a share of the delay.
         jitter: Amount = Amount(0.24),
     }
 }
 
-part! {
-    /// The node register, as a journal service to each controller.
+section! {
+    /// The node register, which each controller sees as a journal service.
     Journal {
-        /// Seconds, from and to, until it tells of a drain or an end that was announced.
+        /// Range of the delay in seconds until it reports an announced drain or stop.
         notice: [Seconds; 2] = [Seconds(0.63), Seconds(4.4)],
-        /// Seconds, from and to, until it tells of a node that vanished without a word.
+        /// Range of the delay in seconds until it reports a node that failed without notice.
         silent: [Seconds; 2] = [Seconds(5.7), Seconds(14.0)],
-        /// Seconds, from and to, until it tells of a node that has started.
+        /// Range of the delay in seconds until it reports a node that has started.
         start: [Seconds; 2] = [Seconds(0.48), Seconds(2.2)],
     }
 }
 
-part! {
-    /// The centre's advice: the tandem with most room.
+section! {
+    /// The centre's route advice: the tandem with the most free circuits.
     Advice {
-        /// Whether calls carry it.
+        /// Whether set-ups carry the advice.
         given: bool = true,
-        /// Age of its last look in seconds, from and to.
+        /// Range of the age in seconds of the snapshot that the advice is based on.
         age: [Seconds; 2] = [Seconds(1.5), Seconds(4.0)],
     }
 }
 
-part! {
-    /// What a controller may use, and what it is told.
+section! {
+    /// Limits and settings of the controllers.
     Controllers {
-        /// Memory, in MB.
+        /// Memory limit in MB.
         memory_mb: u32 = 32,
-        /// File descriptors.
+        /// File descriptor limit.
         sockets: u32 = 1024,
-        /// Attempts for one call.
+        /// Maximum number of attempts per call.
         attempts: u32 = 5,
-        /// The shortest time between two turns, in seconds.
+        /// Minimum time between two turns, in seconds.
         tick: Factor = Factor(0.005),
-        /// The longest wait that callers can be told to keep, in seconds.
+        /// Maximum wait in seconds that callers can be advised before they retry; 0 disables retry advice.
         longest_advice: Seconds = Seconds(2.0),
     }
 }
 
-/// What happens to the nodes, connections, services and callers that an event strikes.
+/// Kind of an event: what happens to the affected nodes and to their connections, services and callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
-    /// The processor stops (its calls are cut), and starts again cold under the same id after `down` seconds.
+    /// The processor stops, which cuts its calls, and starts again cold with the same id after `down` seconds.
     RestartCold,
-    /// The node drains for `drain` seconds and goes; a new one under a new id takes its place, cold.
+    /// The node drains for `drain` seconds and stops; after `down` seconds a new one with a new id replaces it, cold.
     Replace,
-    /// The node drains for `drain` seconds and goes; it is back, cold and under a new id, when the event ends.
+    /// The node drains for `drain` seconds and stops; when the event ends it is back, cold and with a new id.
     Drain,
-    /// Set-ups are taken and none is answered.
+    /// The node accepts set-ups and answers none.
     Hang,
-    /// The processor stands still for `length` seconds in every `every`.
+    /// The processor pauses for `length` seconds, every `every` seconds.
     Pauses,
-    /// The processor takes `factor` times as long.
+    /// The processor takes `factor` times as long for all work.
     Slow,
-    /// The node is cut off and says nothing; when the event ends a new one is in its place, cold.
+    /// The node stops without notice and its connections fall silent; when the event ends a new one replaces it, cold.
     Vanish,
-    /// Groups between the regions struck and the others keep `kept` of their circuits; calls on the others are
-    /// cut.
+    /// Trunk groups between the affected regions and the others keep the share `kept` of their circuits; calls on the
+    /// lost circuits are cut.
     LoseCircuits,
-    /// Open connections to the nodes struck stay open and say nothing more.
+    /// Open connections to the affected nodes stay open, but carry nothing any more.
     SilentConnections,
-    /// Open connections to the nodes struck are reset; set-ups on them may have been read or not.
+    /// Open connections to the affected nodes are reset; set-ups on them may or may not have been read.
     ResetConnections,
-    /// The journal service breaks off and refuses connections.
+    /// The journal service closes its connections and refuses new ones.
     JournalBroken,
-    /// The journal service takes requests and answers none.
+    /// The journal service accepts requests and answers none.
     JournalSilent,
-    /// The controller is killed, and started again after `down` seconds.
+    /// The controller is killed and started again after `down` seconds.
     ControllerKilled,
-    /// The controller is told to end, and started again when it has.
+    /// The controller is shut down with SIGTERM, and started again when it has exited.
     ControllerRestarted,
     /// Callers offer `times` as many calls.
     Demand,
-    /// Callers heed no advice on when to come back.
+    /// Callers ignore retry advice.
     IgnoreAdvice,
-    /// The node's controller reads its configuration again (SIGHUP).
+    /// The node's controller reloads its configuration (SIGHUP).
     ControllerReloaded,
-    /// The network to the node is cut: what passes on open connections waits, new ones never come up, calls stand on.
+    /// The network to the node is partitioned: bytes on open connections are held back until the end, new connections
+    /// time out, and calls keep standing.
     CutOff,
-    /// New connections to the node never come up; open ones work.
+    /// New connections to the node time out; open ones work.
     NoNewConnections,
-    /// The journal service of the node's controller answers `length` seconds late.
+    /// The journal service of the node's controller delays its answers by `length` seconds.
     JournalSlow,
-    /// The node breaks some answers off in the middle, after which their connection is of no use, and gives some twice.
+    /// The node truncates some answers, which makes their connection unusable, and sends some answers twice.
     SpoiltAnswers,
-    /// Callers that keep to no protocol connect to the node's controller, one in every `every` seconds.
+    /// Clients that violate the protocol connect to the node's controller, one every `every` seconds.
     BadCallers,
 }
 
 impl EventKind {
-    /// Its name in scripts.
+    /// Returns the name in scripts.
     pub fn name(self) -> &'static str {
         match self {
             EventKind::RestartCold => "restart-cold",
@@ -306,8 +309,9 @@
         }
     }
 
-    /// Keys beside `at`, `kind` and those that say what is struck: the required ones, then the others.
-    fn keys(self) -> (&'static [&'static str], &'static [&'static str]) {
+    /// Returns the keys of this kind beside `at`, `kind`, `nodes`, `regions` and `share`: the required, then the
+    /// optional ones.
+    fn allowed_keys(self) -> (&'static [&'static str], &'static [&'static str]) {
         match self {
             EventKind::RestartCold => (&[], &["down", "stagger"]),
             EventKind::Replace => (&[], &["drain", "down", "same_address", "stagger"]),
@@ -333,50 +337,51 @@
     }
 }
 
-/// One event of the timeline.
+/// An event of the timeline.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScriptEvent {
-    /// When it begins, in seconds from the start.
+    /// Start of the event, in seconds from the start of the run.
     pub at: Seconds,
-    /// How long it lasts, in seconds.
+    /// Duration in seconds.
     #[serde(rename = "for")]
     pub lasts: Option<Seconds>,
-    /// What it is.
+    /// What happens.
     pub kind: EventKind,
-    /// The nodes struck, by name.
+    /// The affected nodes, by name. At most one of `nodes`, `regions` and `share` is allowed; without any, all nodes
+    /// are affected.
     pub nodes: Option<Vec<String>>,
-    /// All nodes of these regions are struck.
+    /// All nodes of these regions are affected.
     pub regions: Option<Vec<String>>,
-    /// This share of the nodes is struck, drawn from the seed, one at least.
+    /// This share of the nodes is affected, at least one node, drawn at random from the seed.
     pub share: Option<Share>,
-    /// `slow`: how many times as long everything takes.
+    /// `slow`: factor by which all work takes longer.
     pub factor: Option<Factor>,
-    /// `lose-circuits`: share of the circuits that stays.
+    /// `lose-circuits`: share of the circuits that stay in service.
     pub kept: Option<Share>,
-    /// `pauses`: seconds from one to the next.
+    /// `pauses`, `bad-callers`: time in seconds from one pause or client to the next.
     pub every: Option<Factor>,
-    /// `pauses`: seconds that one lasts.
+    /// `pauses`: duration of a pause in seconds. `journal-slow`: delay of an answer in seconds.
     pub length: Option<Factor>,
-    /// `replace`, `drain`: seconds that the node drains.
+    /// `replace`, `drain`: time in seconds that the node drains.
     pub drain: Option<Seconds>,
-    /// Seconds until what stopped starts again.
+    /// `restart-cold`, `replace`, `controller-killed`: time in seconds from the stop to the next start.
     pub down: Option<Seconds>,
-    /// `replace`: the new node has the address of the old one.
+    /// `replace`: whether the new node has the address of the old one.
     pub same_address: Option<bool>,
-    /// Seconds from one node struck to the next.
+    /// Time in seconds from the start of the event at one affected node to that at the next.
     pub stagger: Option<Seconds>,
-    /// `demand`: how many times the calls.
+    /// `demand`: factor by which more calls are offered.
     pub times: Option<Factor>,
 }
 
 impl ScriptEvent {
-    /// When it ends, in seconds from the start; with no `for`, as soon as it has begun.
+    /// Returns the end of the event in seconds from the start of the run. Without `for` it is the start of the event.
     pub fn end_seconds(&self) -> f64 {
         self.at.0 + self.lasts.map_or(0.0, |s| s.0)
     }
 
-    fn given(&self) -> [(&'static str, bool); 10] {
+    fn given_keys(&self) -> [(&'static str, bool); 10] {
         [
             ("for", self.lasts.is_some()),
             ("factor", self.factor.is_some()),
@@ -392,42 +397,43 @@
     }
 }
 
-/// A script as it is written down.
+/// A script.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// What it is called in reports.
+    /// Name in reports.
     pub name: String,
-    /// What it is for.
+    /// Purpose of the script.
     #[serde(default)]
     pub about: String,
-    /// Seconds in which calls are offered; what is open after that is played to its end.
+    /// Time in seconds during which calls are offered.
     pub seconds: Factor,
-    /// Seconds of the short form (`--short`), in which the same timeline is cut off.
+    /// The same for the short form (`--short`), which cuts off the timeline at this time.
     pub short_seconds: Option<Factor>,
-    /// Seconds after the last call was offered in which what is open and stands comes to its end.
-    #[serde(default = "run_out")]
+    /// Time in seconds after that during which the run goes on, so that open and standing calls can end.
+    #[serde(default = "default_run_out")]
     pub run_out: Seconds,
-    /// Results nodes, each with its controller: `n0`, `n1` and so on, by turns in the regions.
-    #[serde(default = "six")]
+    /// Number of nodes, each with its controller. They are named `n0`, `n1` and so on, and assigned to the regions in
+    /// turn.
+    #[serde(default = "default_nodes")]
     pub nodes: u32,
     /// The regions.
-    #[serde(default = "regions")]
+    #[serde(default = "default_regions")]
     pub regions: Vec<String>,
-    /// Fresh calls a second that the network was planned for, in all.
-    #[serde(default = "planned")]
+    /// Fresh calls per second that the network was planned for, over all nodes.
+    #[serde(default = "default_planned_calls")]
     pub planned_calls: Factor,
-    /// Calls offered, as a multiple of the plan.
-    #[serde(default = "load")]
+    /// Calls offered, as a multiple of `planned_calls`.
+    #[serde(default = "default_load")]
     pub load: Factor,
-    /// Points of seconds and multiple of the load, joined by straight lines; before the first and after the
-    /// last as these have it.
+    /// Load profile: points of time in seconds and load factor, with linear interpolation. The first factor holds
+    /// before the first point, and the last after the last point.
     #[serde(default)]
     pub profile: Vec<[Amount; 2]>,
     /// The classes of call.
-    #[serde(default = "classes")]
+    #[serde(default = "default_classes")]
     pub classes: Vec<Class>,
-    /// How callers behave.
+    /// Behaviour of callers.
     #[serde(default)]
     pub callers: Callers,
     /// The nodes' processors.
@@ -436,47 +442,47 @@
     /// The trunk groups.
     #[serde(default)]
     pub groups: Groups,
-    /// Delays.
+    /// Delays between nodes.
     #[serde(default)]
     pub network: Network,
     /// The node register.
     #[serde(default)]
     pub journal: Journal,
-    /// The centre's advice.
+    /// The centre's route advice.
     #[serde(default)]
     pub advice: Advice,
     /// The controllers.
     #[serde(default)]
     pub controllers: Controllers,
-    /// The incident.
+    /// The timeline of events.
     #[serde(default)]
     pub events: Vec<ScriptEvent>,
 }
 
-fn run_out() -> Seconds {
+fn default_run_out() -> Seconds {
     Seconds(20.0)
 }
-fn six() -> u32 {
+fn default_nodes() -> u32 {
     6
 }
-fn regions() -> Vec<String> {
+fn default_regions() -> Vec<String> {
     ["praha", "brno", "ostrava"].map(String::from).to_vec()
 }
-fn planned() -> Factor {
+fn default_planned_calls() -> Factor {
     Factor(57.0)
 }
-fn load() -> Factor {
+fn default_load() -> Factor {
     Factor(0.92)
 }
-fn classes() -> Vec<Class> {
+fn default_classes() -> Vec<Class> {
     let class = |name: &str, share, worth, hold| Class {
         name: name.into(),
         share: Factor(share),
         worth: Amount(worth),
         hold: Factor(hold),
-        aim: aim(),
-        deadline: deadline(),
-        late_worth: late_worth(),
+        aim: default_aim(),
+        deadline: default_deadline(),
+        late_worth: default_late_worth(),
         width: 1,
     };
     vec![class("result-view", 0.78, 1.0, 11.5), class("result-post", 0.22, 3.0, 9.2)]
@@ -488,36 +494,37 @@
         Script::parse(&path.display().to_string(), &settings::text(path)?)
     }
 
-    /// Reads a script from text; `file` is only named in errors.
+    /// Parses a script; `file` is its name in errors.
     pub fn parse(file: &str, text: &str) -> Result<Script, Misread> {
         let script: Script = settings::parse(file, text)?;
-        script.check().map_err(|(path, what)| settings::refuse(file, text, &path, what))?;
+        script.validate().map_err(|(path, what)| settings::refuse(file, text, &path, what))?;
         Ok(script)
     }
 
-    /// Seconds from the beginning of an event that has no `for` until what it struck is whole again, one node
-    /// struck.
+    /// Returns the time in seconds from the start of an event without `for` until an affected node works fully again.
     pub fn recovery_seconds(&self, event: &ScriptEvent) -> f64 {
-        let down = event.down.map_or(DOWN, |d| d.0);
+        let down = event.down.map_or(DEFAULT_DOWN_SECONDS, |d| d.0);
         match event.kind {
             EventKind::RestartCold => down + self.processor.cold_for.0,
-            EventKind::Replace => event.drain.map_or(DRAIN, |d| d.0) + down + self.processor.cold_for.0,
+            EventKind::Replace => {
+                event.drain.map_or(DEFAULT_DRAIN_SECONDS, |d| d.0) + down + self.processor.cold_for.0
+            }
             EventKind::ControllerKilled => down,
             _ => 0.0,
         }
     }
 
-    /// Names of the nodes.
+    /// Returns the names of the nodes.
     pub fn node_names(&self) -> impl Iterator<Item = String> {
         (0..self.nodes).map(|n| format!("n{n}"))
     }
 
-    /// The region that a node is in.
+    /// Returns the index of the region that a node is in.
     pub fn region(&self, node: usize) -> usize {
         node % self.regions.len()
     }
 
-    /// The multiple of the load at a time, by the profile.
+    /// Returns the load factor of the profile at a time.
     pub fn profile_at(&self, seconds: f64) -> f64 {
         let Some(next) = self.profile.iter().position(|p| p[0].0 > seconds) else {
             return self.profile.last().map_or(1.0, |p| p[1].0);
@@ -525,95 +532,97 @@
         if next == 0 {
             return self.profile[0][1].0;
         }
-        let ([t0, m0], [t1, m1]) = (self.profile[next - 1], self.profile[next]);
-        m0.0 + (m1.0 - m0.0) * (seconds - t0.0) / (t1.0 - t0.0)
+        let ([start_time, start_factor], [end_time, end_factor]) =
+            (self.profile[next - 1], self.profile[next]);
+        start_factor.0
+            + (end_factor.0 - start_factor.0) * (seconds - start_time.0) / (end_time.0 - start_time.0)
     }
 
-    /// What the types of the single figures cannot say.
-    fn check(&self) -> Result<(), (Vec<Step>, String)> {
+    /// Checks the conditions that the types of the single values do not express.
+    fn validate(&self) -> Result<(), (Vec<Step>, String)> {
         use Step::Index;
-        let fail = |path: Vec<Step>, what: String| Err((path, what));
+        let error = |path: Vec<Step>, what: String| Err((path, what));
         if !(3..=200).contains(&self.nodes) {
-            return fail(vec![key("nodes")], format!("{}: between 3 and 200 nodes are needed", self.nodes));
+            return error(vec![key("nodes")], format!("{}: must be between 3 and 200", self.nodes));
         }
         if self.regions.is_empty() || self.regions.len() > self.nodes as usize {
-            let what = "at least one region, and a node for each, are needed".into();
-            return fail(vec![key("regions")], what);
+            let what = "there must be at least one region, and at most as many as nodes".into();
+            return error(vec![key("regions")], what);
         }
-        if self.seconds.0 > LONGEST {
-            return fail(vec![key("seconds")], "longer than a day".into());
+        if self.seconds.0 > MAX_DURATION_SECONDS {
+            return error(vec![key("seconds")], "must not be longer than a day".into());
         }
         if self.short_seconds.is_some_and(|s| s > self.seconds) {
-            return fail(vec![key("short_seconds")], "longer than `seconds`".into());
+            return error(vec![key("short_seconds")], "must not be longer than `seconds`".into());
         }
         if self.classes.is_empty() {
-            return fail(vec![key("classes")], "at least one class is needed".into());
+            return error(vec![key("classes")], "must contain at least one class".into());
         }
         for (i, class) in self.classes.iter().enumerate() {
             let path = |name| vec![key("classes"), Index(i), key(name)];
-            let token = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-            if class.name.is_empty() || !class.name.bytes().all(token) {
-                return fail(path("name"), "letters, digits, - and _ are needed".into());
+            let is_name_byte = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+            if class.name.is_empty() || !class.name.bytes().all(is_name_byte) {
+                return error(path("name"), "must consist of letters, digits, - and _".into());
             }
             if self.classes[..i].iter().any(|c| c.name == class.name) {
-                return fail(path("name"), format!("class '{}' is there twice", class.name));
+                return error(path("name"), format!("duplicate class '{}'", class.name));
             }
             if class.aim > class.deadline {
-                return fail(path("aim"), "longer than the class's deadline".into());
+                return error(path("aim"), "must not be longer than the deadline of the class".into());
             }
             if class.width == 0 {
-                return fail(path("width"), "a call takes one circuit at least".into());
+                return error(path("width"), "must be at least 1".into());
             }
         }
         for (i, pair) in self.profile.windows(2).enumerate() {
             if pair[0][0] >= pair[1][0] {
-                return fail(vec![key("profile"), Index(i + 1)], "no later than the point before".into());
+                return error(vec![key("profile"), Index(i + 1)], "no later than the point before".into());
             }
         }
         if self.controllers.attempts == 0 || self.callers.connections == 0 {
             let name = if self.controllers.attempts == 0 { "attempts" } else { "connections" };
-            let part = if name == "attempts" { "controllers" } else { "callers" };
-            return fail(vec![key(part), key(name)], "one at least is needed".into());
+            let section = if name == "attempts" { "controllers" } else { "callers" };
+            return error(vec![key(section), key(name)], "must be at least 1".into());
         }
-        for (part, name, [from, to]) in [
+        for (section, name, [from, to]) in [
             ("journal", "notice", self.journal.notice),
             ("journal", "silent", self.journal.silent),
             ("journal", "start", self.journal.start),
             ("advice", "age", self.advice.age),
         ] {
             if from > to {
-                return fail(vec![key(part), key(name)], "from is later than to".into());
+                return error(vec![key(section), key(name)], "from is later than to".into());
             }
         }
         for (i, event) in self.events.iter().enumerate() {
-            self.check_event(event).map_err(|(name, what)| {
-                let tail = if name.is_empty() { None } else { Some(key(name)) };
-                ([key("events"), Index(i)].into_iter().chain(tail).collect(), what)
+            self.validate_event(event).map_err(|(name, what)| {
+                let key_step = if name.is_empty() { None } else { Some(key(name)) };
+                ([key("events"), Index(i)].into_iter().chain(key_step).collect(), what)
             })?;
         }
         Ok(())
     }
 
-    fn check_event(&self, event: &ScriptEvent) -> Result<(), (&'static str, String)> {
+    fn validate_event(&self, event: &ScriptEvent) -> Result<(), (&'static str, String)> {
         let name = event.kind.name();
-        let (required, others) = event.kind.keys();
-        for (key, given) in event.given() {
-            if given && !required.contains(&key) && !others.contains(&key) {
+        let (required, optional) = event.kind.allowed_keys();
+        for (key, is_given) in event.given_keys() {
+            if is_given && !required.contains(&key) && !optional.contains(&key) {
                 return Err((key, format!("'{name}' has no such key")));
             }
-            if !given && required.contains(&key) {
+            if !is_given && required.contains(&key) {
                 return Err(("", format!("'{name}' needs the key `{key}`")));
             }
         }
         if event.end_seconds() > self.seconds.0 {
             let key = if event.at.0 > self.seconds.0 { "at" } else { "for" };
             let end = self.seconds.0;
-            return Err((key, format!("the event goes on past the end of the script, {end} s")));
+            return Err((key, format!("the event extends past the end of the script, {end} s")));
         }
-        let by = [event.nodes.is_some(), event.regions.is_some(), event.share.is_some()];
-        let by = by.into_iter().filter(|b| *b).count();
-        if by > 1 {
-            return Err(("", "one of `nodes`, `regions` and `share` says what is struck, not two".into()));
+        let selectors = [event.nodes.is_some(), event.regions.is_some(), event.share.is_some()];
+        let selectors = selectors.into_iter().filter(|b| *b).count();
+        if selectors > 1 {
+            return Err(("", "only one of `nodes`, `regions` and `share` is allowed, not two".into()));
         }
         for node in event.nodes.iter().flatten() {
             if !self.node_names().any(|n| n == *node) {
@@ -628,10 +637,10 @@
             }
         }
         if event.kind == EventKind::LoseCircuits && event.nodes.is_some() {
-            return Err(("nodes", "groups are lost between regions: name `regions`".into()));
+            return Err(("nodes", "circuits are lost between regions: use `regions`".into()));
         }
         if event.every.is_some() && event.length > event.every {
-            return Err(("length", "a pause is longer than the time from one to the next".into()));
+            return Err(("length", "a pause must not be longer than the time from one to the next".into()));
         }
         Ok(())
     }
--- a/rehearsal/src/world/incidents.rs
+++ b/rehearsal/src/world/incidents.rs
@@ -9,7 +9,7 @@
 
 use super::nodes::Machine;
 use super::{seconds_to_nanos, Act, Due, Reach, Signal, World, MS};
-use crate::script::{EventKind, Script, ScriptEvent, DOWN, DRAIN};
+use crate::script::{EventKind, Script, ScriptEvent, DEFAULT_DOWN_SECONDS, DEFAULT_DRAIN_SECONDS};
 
 /// Further signals come so long after SIGTERM, by turns SIGTERM, SIGINT and SIGHUP.
 const MORE_SIGNALS: [(Nanos, Signal); 3] =
@@ -77,7 +77,10 @@
             (EventKind::RestartCold, Phase::Begin) => {
                 if self.nodes[node].alive {
                     self.stop_node(node, Reach::Refused);
-                    self.later(span(event.down, DOWN), Due::Event(number, node, Phase::Start));
+                    self.later(
+                        span(event.down, DEFAULT_DOWN_SECONDS),
+                        Due::Event(number, node, Phase::Start),
+                    );
                 }
             }
             (EventKind::RestartCold, _) => {
@@ -89,14 +92,17 @@
             (EventKind::Replace | EventKind::Drain, Phase::Begin) => {
                 let (machine, late) = (self.serving[node], self.script.journal.notice);
                 self.tell_journals(machine, "DRAINING", late);
-                self.later(span(event.drain, DRAIN), Due::Event(number, node, Phase::Stop));
+                self.later(span(event.drain, DEFAULT_DRAIN_SECONDS), Due::Event(number, node, Phase::Stop));
             }
             (EventKind::Replace | EventKind::Drain, Phase::Stop) => {
                 let (machine, late) = (self.serving[node], self.script.journal.notice);
                 self.stop_node(node, Reach::Refused);
                 self.tell_journals(machine, "DELETED", late);
                 if event.kind == EventKind::Replace {
-                    self.later(span(event.down, DOWN), Due::Event(number, node, Phase::Start));
+                    self.later(
+                        span(event.down, DEFAULT_DOWN_SECONDS),
+                        Due::Event(number, node, Phase::Start),
+                    );
                 }
             }
             (EventKind::Drain | EventKind::Vanish, Phase::End) => self.new_machine(node, false),
@@ -152,7 +158,10 @@
             (EventKind::ControllerKilled, Phase::Begin) => {
                 if self.running[node] {
                     self.kill(node);
-                    self.later(span(event.down, DOWN), Due::Event(number, node, Phase::Start));
+                    self.later(
+                        span(event.down, DEFAULT_DOWN_SECONDS),
+                        Due::Event(number, node, Phase::Start),
+                    );
                 }
             }
             (EventKind::ControllerKilled, _) if self.running[node] => {}
