--- a/rehearsal/src/virtual_clock.rs
+++ b/rehearsal/src/virtual_clock.rs
@@ -1,5 +1,5 @@
-//! The virtual clock: whole controllers in this process, byte by byte, as fast as they go and the same every
-//! time.
+//! The virtual clock: runs the simulated world with complete controllers in this process, deterministically and
+//! without waiting. Controllers receive and send the same bytes as over sockets.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,18 +10,18 @@
 use measured::record::Interval;
 use pitchgw::interface::Nanos;
 
-use crate::world::{Act, Party, Reach, Signal, WireId, World, MS};
+use crate::world::{Action, ConnectOutcome, Endpoint, Signal, SimConnectionId, World, MS};
 
-/// The Unix time at which every rehearsal begins.
+/// Unix time at which every rehearsal begins.
 pub const START_TIME: Nanos = 1_800_000_000_000 * MS;
-/// The time that bytes take between a controller and a party of the world.
-const LATENCY: Nanos = MS / 20;
-/// Turns are no further apart than this on account of the tick, as in the real driver.
-const MOST_TICK: Nanos = 10 * MS;
-/// Ports of the parties' made-up addresses: callers, the journal, then the machines.
+/// Delay of bytes between a controller and a simulated endpoint.
+const NETWORK_LATENCY: Nanos = MS / 20;
+/// Upper limit of the tick, as in the real driver: a longer tick does not delay turns further.
+const MAX_TICK: Nanos = 10 * MS;
+/// Ports in the made-up addresses of endpoints: callers, journal, and the first machine.
 const PORTS: [u16; 3] = [1, 2, 16];
 
-/// What a rehearsal drives: the engine, or a stand-in that breaks a rule on purpose. The methods are those of
+/// A controller under test: the engine, or a substitute that breaks a rule on purpose. The methods are those of
 /// [`Engine`].
 #[allow(missing_docs)]
 pub trait Controller {
@@ -44,7 +44,7 @@
     fn is_turn_complete(&self) -> bool;
     fn end_turn(&mut self);
     fn shut_down(&mut self);
-    /// The next closed interval of what it measures; `running`: the present one too.
+    /// Returns the next closed measurement interval; with `running`, closes the current interval first.
     fn poll_interval(&mut self, _running: bool) -> Option<Interval> {
         None
     }
@@ -88,110 +88,121 @@
     is_turn_complete(&self) -> bool;
 }
 
-/// Starts a controller from its configuration.
+/// Creates a controller at a time from the text of its configuration.
 pub type ControllerFactory<'a> = &'a mut dyn FnMut(Nanos, &str) -> Result<Box<dyn Controller>, String>;
 
-/// Starts the real thing.
+/// Creates an [`Engine`].
 pub fn new_engine(now: Nanos, config: &str) -> Result<Box<dyn Controller>, String> {
     let config = read_config(config)?;
-    let told = read_settings(&config)?;
-    Ok(Box::new(Engine::new(now, config, told)?))
+    let settings = read_settings(&config)?;
+    Ok(Box::new(Engine::new(now, config, settings)?))
 }
 
-/// Starts the real thing, which measures by a calendar.
+/// Returns a factory of [`Engine`]s that measure their load according to a calendar.
 pub fn new_measuring_engine(
     calendar: Calendar,
 ) -> impl FnMut(Nanos, &str) -> Result<Box<dyn Controller>, String> {
     move |now, config| {
         let config = read_config(config)?;
-        let told = read_settings(&config)?;
-        let mut engine = Engine::new(now, config, told)?;
+        let settings = read_settings(&config)?;
+        let mut engine = Engine::new(now, config, settings)?;
         engine.start_measuring(calendar.clone());
         Ok(Box::new(engine))
     }
 }
 
-/// The made-up address of a party as a controller reaches it.
-pub fn endpoint_address(controller: usize, party: Party) -> SocketAddr {
-    let port = match party {
-        Party::Callers | Party::BadCaller => PORTS[0],
-        Party::Journal => PORTS[1],
-        Party::Machine(m) => PORTS[2] + m as u16,
+/// Returns the made-up address at which a controller reaches an endpoint.
+pub fn endpoint_address(controller: usize, endpoint: Endpoint) -> SocketAddr {
+    let port = match endpoint {
+        Endpoint::Callers | Endpoint::BadCaller => PORTS[0],
+        Endpoint::Journal => PORTS[1],
+        Endpoint::Machine(m) => PORTS[2] + m as u16,
     };
     (Ipv4Addr::new(127, 77, (controller / 250) as u8, (controller % 250) as u8), port).into()
 }
 
-fn party(address: SocketAddr) -> Party {
+fn endpoint_at(address: SocketAddr) -> Endpoint {
     match address.port() {
-        p if p == PORTS[0] => Party::Callers,
-        p if p == PORTS[1] => Party::Journal,
-        p => Party::Machine(usize::from(p - PORTS[2])),
+        p if p == PORTS[0] => Endpoint::Callers,
+        p if p == PORTS[1] => Endpoint::Journal,
+        p => Endpoint::Machine(usize::from(p - PORTS[2])),
     }
 }
 
 enum Inbound {
-    Accept(WireId),
-    Bytes(WireId, Vec<u8>),
-    Ended(WireId),
-    Connected(ConnId, WireId),
+    Accept(SimConnectionId),
+    Bytes(SimConnectionId, Vec<u8>),
+    Ended(SimConnectionId),
+    Connected(ConnId, SimConnectionId),
     ConnectFailed(ConnId),
 }
 
 enum Delivery {
-    /// For a controller, if it is still the one that was meant.
+    /// For a controller, unless it has been restarted since: host, generation, content.
     Inbound(usize, u32, Inbound),
-    Bytes(WireId, Vec<u8>),
-    Closed(WireId),
-    Dialled(usize, u32, ConnId, Party),
+    Bytes(SimConnectionId, Vec<u8>),
+    Closed(SimConnectionId),
+    ConnectRequested(usize, u32, ConnId, Endpoint),
 }
 
 #[derive(Default)]
-struct Host {
+struct ControllerHost {
     controller: Option<Box<dyn Controller>>,
     generation: u32,
     listening: bool,
     last_turn: Nanos,
-    planned: Option<Nanos>,
+    scheduled_turn: Option<Nanos>,
     inbound: VecDeque<Inbound>,
-    wires: BTreeMap<WireId, ConnId>,
-    conns: BTreeMap<ConnId, WireId>,
-    dialling: BTreeSet<ConnId>,
+    engine_connections: BTreeMap<SimConnectionId, ConnId>,
+    sim_connections: BTreeMap<ConnId, SimConnectionId>,
+    connecting: BTreeSet<ConnId>,
 }
 
-struct Clock<'a> {
+struct VirtualClock<'a> {
     now: Nanos,
     world: World,
-    hosts: Vec<Host>,
+    hosts: Vec<ControllerHost>,
     turns: BTreeSet<(Nanos, usize)>,
-    /// All take equally long, so they arrive in the order in which they were sent.
+    /// Pending deliveries. All have the same delay, so they arrive in the order in which they were sent.
     deliveries: VecDeque<(Nanos, Delivery)>,
-    make: ControllerFactory<'a>,
+    create_controller: ControllerFactory<'a>,
     intervals: Vec<Interval>,
 }
 
-/// Plays a world to its end; tells the intervals that controllers measured, too.
-pub fn run(world: World, make: ControllerFactory<'_>) -> Result<(World, Vec<Interval>), String> {
-    let hosts = (0..world.controllers()).map(|_| Host::default()).collect();
+/// Runs a world to its end. Also returns the measurement intervals of the controllers.
+pub fn run(world: World, create_controller: ControllerFactory<'_>) -> Result<(World, Vec<Interval>), String> {
+    let hosts = (0..world.controller_count()).map(|_| ControllerHost::default()).collect();
     let (turns, deliveries) = (BTreeSet::new(), VecDeque::new());
-    let mut clock = Clock { now: START_TIME, world, hosts, turns, deliveries, make, intervals: Vec::new() };
-    clock.acts()?;
+    let mut clock = VirtualClock {
+        now: START_TIME,
+        world,
+        hosts,
+        turns,
+        deliveries,
+        create_controller,
+        intervals: Vec::new(),
+    };
+    clock.perform_actions()?;
     while clock.step()? {}
-    let until = clock.world.until();
-    clock.world.advance(until);
-    clock.world.close_books();
-    for controller in clock.hosts.iter_mut().filter_map(|h| h.controller.as_mut()) {
-        controller.begin_turn(until);
+    let end_time = clock.world.end_time();
+    clock.world.advance(end_time);
+    clock.world.finalize();
+    for controller in clock.hosts.iter_mut().filter_map(|host_state| host_state.controller.as_mut()) {
+        controller.begin_turn(end_time);
         clock.intervals.extend(std::iter::from_fn(|| controller.poll_interval(true)));
     }
     Ok((clock.world, clock.intervals))
 }
 
-impl Clock<'_> {
-    /// Goes on to the next moment at which anything happens; false: nothing more does.
+impl VirtualClock<'_> {
+    /// Advances to the next scheduled event, delivery or turn. Returns false if there is none.
     fn step(&mut self) -> Result<bool, String> {
-        let next =
-            [self.world.next_due(), self.deliveries.front().map(|d| d.0), self.turns.first().map(|t| t.0)];
-        let Some(now) = next.into_iter().flatten().min().filter(|at| *at <= self.world.until()) else {
+        let next = [
+            self.world.next_event_time(),
+            self.deliveries.front().map(|d| d.0),
+            self.turns.first().map(|t| t.0),
+        ];
+        let Some(now) = next.into_iter().flatten().min().filter(|at| *at <= self.world.end_time()) else {
             return Ok(false);
         };
         self.now = self.now.max(now);
@@ -201,72 +212,84 @@
             }
         }
         self.world.advance(self.now);
-        self.acts()?;
+        self.perform_actions()?;
         while let Some(&(at, host)) = self.turns.first().filter(|t| t.0 <= self.now) {
             self.turns.remove(&(at, host));
-            self.hosts[host].planned = None;
-            self.turn(host);
-            self.acts()?;
+            self.hosts[host].scheduled_turn = None;
+            self.run_turn(host);
+            self.perform_actions()?;
         }
         Ok(true)
     }
 
-    fn later(&mut self, delivery: Delivery) {
-        self.deliveries.push_back((self.now + LATENCY, delivery));
+    fn schedule_delivery(&mut self, delivery: Delivery) {
+        self.deliveries.push_back((self.now + NETWORK_LATENCY, delivery));
     }
 
-    fn inbound(&mut self, host: usize, what: Inbound) {
+    fn schedule_inbound(&mut self, host: usize, what: Inbound) {
         let generation = self.hosts[host].generation;
-        self.later(Delivery::Inbound(host, generation, what));
+        self.schedule_delivery(Delivery::Inbound(host, generation, what));
     }
 
-    fn acts(&mut self) -> Result<(), String> {
-        while let Some(act) = self.world.poll() {
-            match act {
-                Act::Connect(wire, host) => self.inbound(host, Inbound::Accept(wire)),
-                Act::Send(wire, controller, bytes) => self.inbound(controller, Inbound::Bytes(wire, bytes)),
-                Act::Close(wire, controller) => self.inbound(controller, Inbound::Ended(wire)),
-                Act::Start(host, config) => {
-                    let controller = (self.make)(self.now, &config)?;
-                    let h = &mut self.hosts[host];
-                    let generation = h.generation + 1;
-                    if let Some(at) = h.planned {
+    fn perform_actions(&mut self) -> Result<(), String> {
+        while let Some(action) = self.world.poll_action() {
+            match action {
+                Action::Connect(sim_connection, host) => {
+                    self.schedule_inbound(host, Inbound::Accept(sim_connection))
+                }
+                Action::Send(sim_connection, controller, bytes) => {
+                    self.schedule_inbound(controller, Inbound::Bytes(sim_connection, bytes))
+                }
+                Action::Close(sim_connection, controller) => {
+                    self.schedule_inbound(controller, Inbound::Ended(sim_connection))
+                }
+                Action::StartController(host, config) => {
+                    let controller = (self.create_controller)(self.now, &config)?;
+                    let host_state = &mut self.hosts[host];
+                    let generation = host_state.generation + 1;
+                    if let Some(at) = host_state.scheduled_turn {
                         self.turns.remove(&(at, host));
                     }
-                    *h = Host { controller: Some(controller), generation, ..Host::default() };
-                    self.plan(host, self.now);
+                    *host_state = ControllerHost {
+                        controller: Some(controller),
+                        generation,
+                        ..ControllerHost::default()
+                    };
+                    self.schedule_turn(host, self.now);
                 }
-                Act::Signal(host, Signal::Terminate | Signal::Interrupt) => {
+                Action::SignalController(host, Signal::Terminate | Signal::Interrupt) => {
                     if let Some(controller) = &mut self.hosts[host].controller {
                         controller.begin_turn(self.now);
                         controller.shut_down();
                     }
-                    self.plan(host, self.now);
+                    self.schedule_turn(host, self.now);
+                }
+                // Controllers in this process read their configuration only at the start.
+                Action::SignalController(_, Signal::Reload) => {}
+                Action::ShutdownWrite(sim_connection, controller) => {
+                    self.schedule_inbound(controller, Inbound::Ended(sim_connection))
                 }
-                // Here a configuration is read at the start only.
-                Act::Signal(_, Signal::Reload) => {}
-                Act::Finish(wire, controller) => self.inbound(controller, Inbound::Ended(wire)),
-                Act::Kill(host) => self.remove(host),
+                Action::KillController(host) => self.remove_controller(host),
             }
         }
         Ok(())
     }
 
-    fn remove(&mut self, host: usize) {
-        let h = &mut self.hosts[host];
-        if let Some(at) = h.planned {
+    fn remove_controller(&mut self, host: usize) {
+        let host_state = &mut self.hosts[host];
+        if let Some(at) = host_state.scheduled_turn {
             self.turns.remove(&(at, host));
         }
-        let generation = h.generation + 1;
-        *h = Host { generation, ..Host::default() };
+        let generation = host_state.generation + 1;
+        *host_state = ControllerHost { generation, ..ControllerHost::default() };
     }
 
-    fn plan(&mut self, host: usize, at: Nanos) {
-        let h = &mut self.hosts[host];
-        let Some(controller) = &h.controller else { return };
-        let at = at.max(self.now).max(h.last_turn + controller.tick().min(MOST_TICK));
-        if h.planned.is_none_or(|planned| at < planned) {
-            if let Some(before) = h.planned.replace(at) {
+    fn schedule_turn(&mut self, host: usize, at: Nanos) {
+        let host_state = &mut self.hosts[host];
+        let Some(controller) = &host_state.controller else { return };
+        let at = at.max(self.now).max(host_state.last_turn + controller.tick().min(MAX_TICK));
+        if host_state.scheduled_turn.is_none_or(|scheduled_turn| at < scheduled_turn) {
+            if let Some(before) = host_state.scheduled_turn.replace(at) {
                 self.turns.remove(&(before, host));
             }
             self.turns.insert((at, host));
@@ -279,46 +302,48 @@
             Delivery::Inbound(host, generation, what) => {
                 if self.hosts[host].generation == generation && self.hosts[host].controller.is_some() {
                     self.hosts[host].inbound.push_back(what);
-                    self.plan(host, now);
-                } else if let Inbound::Accept(wire) | Inbound::Connected(_, wire) = what {
-                    self.world.closed(now, wire); // nobody is there any more
+                    self.schedule_turn(host, now);
+                } else if let Inbound::Accept(sim_connection) | Inbound::Connected(_, sim_connection) = what {
+                    self.world.connection_closed(now, sim_connection); // the controller is gone
                 }
             }
-            Delivery::Bytes(wire, bytes) => self.world.received(now, wire, &bytes),
-            Delivery::Closed(wire) => self.world.closed(now, wire),
-            Delivery::Dialled(host, generation, conn, party) => {
+            Delivery::Bytes(sim_connection, bytes) => self.world.bytes_received(now, sim_connection, &bytes),
+            Delivery::Closed(sim_connection) => self.world.connection_closed(now, sim_connection),
+            Delivery::ConnectRequested(host, generation, conn, endpoint) => {
                 if self.hosts[host].generation != generation {
                     return;
                 }
-                let what = match self.world.reach(host, party) {
-                    Reach::Up => Inbound::Connected(conn, self.world.accepted(now, host, party)),
-                    Reach::Refused => Inbound::ConnectFailed(conn),
-                    Reach::Never => return,
+                let what = match self.world.connect_outcome(host, endpoint) {
+                    ConnectOutcome::Accepted => {
+                        Inbound::Connected(conn, self.world.controller_connected(now, host, endpoint))
+                    }
+                    ConnectOutcome::Refused => Inbound::ConnectFailed(conn),
+                    ConnectOutcome::TimesOut => return,
                 };
-                self.inbound(host, what);
+                self.schedule_inbound(host, what);
             }
         }
     }
 
-    fn turn(&mut self, host: usize) {
+    fn run_turn(&mut self, host: usize) {
         let Some(mut controller) = self.hosts[host].controller.take() else { return };
         self.hosts[host].last_turn = self.now;
         controller.begin_turn(self.now);
         while let Some(what) = self.hosts[host].inbound.pop_front() {
-            self.take_in(host, controller.as_mut(), what);
+            self.handle_inbound(host, controller.as_mut(), what);
         }
         controller.handle_deadlines();
         let mut stopped = false;
         loop {
             controller.run_commands();
-            stopped |= self.perform(host, controller.as_mut());
+            stopped |= self.handle_outputs(host, controller.as_mut());
             while let Some(conn) = controller.poll_write() {
-                let wire = self.hosts[host].conns.get(&conn).copied();
+                let sim_connection = self.hosts[host].sim_connections.get(&conn).copied();
                 let pending = controller.pending_bytes(conn);
-                if let (Some(wire), false) = (wire, pending.is_empty()) {
+                if let (Some(sim_connection), false) = (sim_connection, pending.is_empty()) {
                     let bytes = pending.to_vec();
                     controller.bytes_written(conn, bytes.len());
-                    self.later(Delivery::Bytes(wire, bytes));
+                    self.schedule_delivery(Delivery::Bytes(sim_connection, bytes));
                 }
                 controller.flushed(conn);
             }
@@ -327,42 +352,46 @@
             }
         }
         controller.end_turn();
-        stopped |= self.perform(host, controller.as_mut());
+        stopped |= self.handle_outputs(host, controller.as_mut());
         self.intervals.extend(std::iter::from_fn(|| controller.poll_interval(false)));
         if stopped {
-            self.remove(host);
-            return self.world.stopped(self.now, host);
+            self.remove_controller(host);
+            return self.world.controller_stopped(self.now, host);
         }
         let due = controller.next_deadline();
         self.hosts[host].controller = Some(controller);
         if let Some(due) = due {
-            self.plan(host, due);
+            self.schedule_turn(host, due);
         }
     }
 
-    fn take_in(&mut self, host: usize, controller: &mut dyn Controller, what: Inbound) {
+    fn handle_inbound(&mut self, host: usize, controller: &mut dyn Controller, what: Inbound) {
         match what {
-            Inbound::Accept(wire) => {
+            Inbound::Accept(sim_connection) => {
                 let conn = if self.hosts[host].listening { controller.accepted() } else { None };
-                let Some(conn) = conn else { return self.later(Delivery::Closed(wire)) };
-                self.hosts[host].wires.insert(wire, conn);
-                self.hosts[host].conns.insert(conn, wire);
-                self.world.connected(self.now, wire);
+                let Some(conn) = conn else {
+                    return self.schedule_delivery(Delivery::Closed(sim_connection));
+                };
+                self.hosts[host].engine_connections.insert(sim_connection, conn);
+                self.hosts[host].sim_connections.insert(conn, sim_connection);
+                self.world.connection_established(self.now, sim_connection);
             }
-            Inbound::Connected(conn, wire) => {
-                if !self.hosts[host].dialling.remove(&conn) {
-                    return self.later(Delivery::Closed(wire));
+            Inbound::Connected(conn, sim_connection) => {
+                if !self.hosts[host].connecting.remove(&conn) {
+                    return self.schedule_delivery(Delivery::Closed(sim_connection));
                 }
-                self.hosts[host].wires.insert(wire, conn);
-                self.hosts[host].conns.insert(conn, wire);
+                self.hosts[host].engine_connections.insert(sim_connection, conn);
+                self.hosts[host].sim_connections.insert(conn, sim_connection);
                 controller.connected(conn);
             }
             Inbound::ConnectFailed(conn) => {
-                self.hosts[host].dialling.remove(&conn);
+                self.hosts[host].connecting.remove(&conn);
                 controller.connect_failed(conn, true);
             }
-            Inbound::Bytes(wire, bytes) => {
-                let Some(conn) = self.hosts[host].wires.get(&wire).copied() else { return };
+            Inbound::Bytes(sim_connection, bytes) => {
+                let Some(conn) = self.hosts[host].engine_connections.get(&sim_connection).copied() else {
+                    return;
+                };
                 let mut rest = &bytes[..];
                 while let Some(room) = controller.read_buffer(conn).filter(|_| !rest.is_empty()) {
                     let count = room.len().min(rest.len());
@@ -371,36 +400,41 @@
                     controller.bytes_read(conn, count);
                 }
             }
-            Inbound::Ended(wire) => {
-                if let Some(conn) = self.hosts[host].wires.remove(&wire) {
-                    self.hosts[host].conns.remove(&conn);
+            Inbound::Ended(sim_connection) => {
+                if let Some(conn) = self.hosts[host].engine_connections.remove(&sim_connection) {
+                    self.hosts[host].sim_connections.remove(&conn);
                     controller.read_closed(conn);
                 }
             }
         }
     }
 
-    /// Does what a controller asks for; whether it has come to its end.
-    fn perform(&mut self, host: usize, controller: &mut dyn Controller) -> bool {
+    /// Carries out the outputs of a controller. Returns whether the controller has stopped.
+    fn handle_outputs(&mut self, host: usize, controller: &mut dyn Controller) -> bool {
         let mut stopped = false;
         while let Some(output) = controller.poll_output() {
             match output {
                 Output::Connect { conn, to } => {
-                    self.hosts[host].dialling.insert(conn);
+                    self.hosts[host].connecting.insert(conn);
                     let generation = self.hosts[host].generation;
-                    self.later(Delivery::Dialled(host, generation, conn, party(to)));
+                    self.schedule_delivery(Delivery::ConnectRequested(
+                        host,
+                        generation,
+                        conn,
+                        endpoint_at(to),
+                    ));
                 }
                 Output::Close(conn) => {
-                    self.hosts[host].dialling.remove(&conn);
-                    if let Some(wire) = self.hosts[host].conns.remove(&conn) {
-                        self.hosts[host].wires.remove(&wire);
-                        self.later(Delivery::Closed(wire));
+                    self.hosts[host].connecting.remove(&conn);
+                    if let Some(sim_connection) = self.hosts[host].sim_connections.remove(&conn) {
+                        self.hosts[host].engine_connections.remove(&sim_connection);
+                        self.schedule_delivery(Delivery::Closed(sim_connection));
                     }
                 }
                 Output::ShutdownWrite(conn) => {
-                    if let Some(wire) = self.hosts[host].conns.get(&conn).copied() {
-                        self.later(Delivery::Closed(wire));
-                        self.inbound(host, Inbound::Ended(wire));
+                    if let Some(sim_connection) = self.hosts[host].sim_connections.get(&conn).copied() {
+                        self.schedule_delivery(Delivery::Closed(sim_connection));
+                        self.schedule_inbound(host, Inbound::Ended(sim_connection));
                     }
                 }
                 Output::Listen(_) => self.hosts[host].listening = true,
--- a/rehearsal/src/wall_clock.rs
+++ b/rehearsal/src/wall_clock.rs
@@ -1,5 +1,5 @@
-//! The wall's clock: real controller processes, spoken to over loopback sockets, in real time. The world is the
-//! one of the virtual clock; here it is driven by epoll (mio) and the time of day.
+//! The wall clock: runs the simulated world against real controller processes over loopback sockets, in real time.
+//! The world is the same as on the virtual clock; here it is driven by epoll (mio) and the system time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,132 +19,143 @@
 
 use crate::report::RunReport;
 use crate::script::Script;
-use crate::world::{seconds_to_nanos, Act, Party, Reach, Signal, WireId, World, MS, SEC};
-
-/// From the start of the processes to the first call.
-const HEAD_START: Nanos = 2 * SEC;
-/// Nodes that this is offered for: each pair takes a listener and a connection.
-const MOST_NODES: u32 = 30;
-/// A program that ends again and again is not started any more.
-const MOST_CRASHES: u32 = 20;
-/// What processes take of the machine is read so often.
-const READ_USAGE: Nanos = SEC / 2;
-/// The driver looks after processes and listeners at least so often.
-const LOOK: Duration = Duration::from_millis(5);
-/// What controllers log where their logs are kept.
-const LOGGED: &str = "dillhold=debug";
-/// Tokens of wires come after those of listeners.
-const FIRST_WIRE: usize = 1 << 20;
-/// A rehearsal that ran later than this, in more than one of a hundred steps, is not to be relied on.
-const LATE: Nanos = 20 * MS;
-
-fn text<'a, E: std::fmt::Display>(what: &'a str) -> impl Fn(E) -> String + 'a {
+use crate::world::{
+    seconds_to_nanos, Action, ConnectOutcome, Endpoint, Signal, SimConnectionId, World, MS, SEC,
+};
+
+/// Time from the start of the processes to the first call.
+const START_DELAY: Nanos = 2 * SEC;
+/// Maximum number of nodes, because each pair of nodes takes a listener and a connection.
+const MAX_NODES: u32 = 30;
+/// A run is aborted after more than this number of crashes, instead of restarting the program forever.
+const MAX_CRASHES: u32 = 20;
+/// Interval at which the resource usage of the processes is read.
+const USAGE_INTERVAL: Nanos = SEC / 2;
+/// Maximum wait for socket events, so that processes and listeners are polled at least this often.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(5);
+/// Log filter of the controllers if their logs are kept.
+const LOG_FILTER: &str = "dillhold=debug";
+/// First poll token of connections; lower tokens are indices of listeners.
+const FIRST_CONNECTION_TOKEN: usize = 1 << 20;
+/// A run is unreliable if more than one in a hundred steps were later than this.
+const LATENESS_THRESHOLD: Nanos = 20 * MS;
+
+/// Returns a function that prefixes an error with what failed.
+fn error_context<'a, E: std::fmt::Display>(what: &'a str) -> impl Fn(E) -> String + 'a {
     move |e| format!("{what}: {e}")
 }
 
-/// The parties' listeners, each for one controller. The address of a party is kept when nothing listens there.
-struct Doors {
-    /// The loopback address of this rehearsal: several at once do not meet on one port.
+/// Addresses and new listeners of the simulated endpoints, separate for each controller. An endpoint keeps its address
+/// while nothing listens there.
+struct EndpointAddressBook {
+    /// Loopback address of this rehearsal, so that concurrent rehearsals do not compete for ports.
     host: Ipv4Addr,
-    addresses: BTreeMap<(usize, Party), SocketAddr>,
-    fresh: Vec<(usize, Party, TcpListener)>,
-    reserved: Vec<OwnedFd>,
-    failed: Option<String>,
+    addresses: BTreeMap<(usize, Endpoint), SocketAddr>,
+    new_listeners: Vec<(usize, Endpoint, TcpListener)>,
+    reserved_sockets: Vec<OwnedFd>,
+    error: Option<String>,
 }
 
-impl Doors {
-    fn new() -> Doors {
+impl EndpointAddressBook {
+    fn new() -> EndpointAddressBook {
         static REHEARSALS: AtomicU32 = AtomicU32::new(0);
         let number = REHEARSALS.fetch_add(1, Ordering::Relaxed);
         let [_, _, high, low] = std::process::id().to_be_bytes();
         let host = Ipv4Addr::new(127, 64 + (number % 128) as u8, high, low.max(1));
-        Doors { host, addresses: BTreeMap::new(), fresh: Vec::new(), reserved: Vec::new(), failed: None }
+        EndpointAddressBook {
+            host,
+            addresses: BTreeMap::new(),
+            new_listeners: Vec::new(),
+            reserved_sockets: Vec::new(),
+            error: None,
+        }
     }
 
-    fn address(&mut self, controller: usize, party: Party) -> SocketAddr {
-        if let Some(address) = self.addresses.get(&(controller, party)) {
+    fn address(&mut self, controller: usize, endpoint: Endpoint) -> SocketAddr {
+        if let Some(address) = self.addresses.get(&(controller, endpoint)) {
             return *address;
         }
-        // The controller itself listens where callers connect.
-        let made = match party {
-            Party::Callers | Party::BadCaller => self.reserve(),
-            Party::Machine(_) | Party::Journal => self.listen(controller, party),
+        // The controller itself listens at the callers' address.
+        let made = match endpoint {
+            Endpoint::Callers | Endpoint::BadCaller => self.reserve(),
+            Endpoint::Machine(_) | Endpoint::Journal => self.listen(controller, endpoint),
         };
         let address = made.unwrap_or_else(|e| {
-            self.failed = Some(format!("a port on loopback: {e}"));
+            self.error = Some(format!("cannot allocate a loopback port: {e}"));
             SocketAddr::from(([127, 0, 0, 1], 9))
         });
-        self.addresses.insert((controller, party), address);
+        self.addresses.insert((controller, endpoint), address);
         address
     }
 }
 
-impl Doors {
-    fn listen(&mut self, controller: usize, party: Party) -> io::Result<SocketAddr> {
+impl EndpointAddressBook {
+    fn listen(&mut self, controller: usize, endpoint: Endpoint) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((self.host, 0))?;
         let address = listener.local_addr()?;
-        self.fresh.push((controller, party, listener));
+        self.new_listeners.push((controller, endpoint, listener));
         Ok(address)
     }
 
-    /// Keeps a port for a controller, which may listen there while this socket does not: without, another listener
-    /// could be given it before the controller starts.
+    /// Reserves a port for a controller with a bound socket that does not listen, so that the controller can.
+    /// Otherwise another listener could be assigned the port before the controller starts.
     fn reserve(&mut self) -> io::Result<SocketAddr> {
         let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None)?;
         rustix::net::sockopt::set_socket_reuseaddr(&socket, true)?;
         rustix::net::bind(&socket, &SocketAddr::from((self.host, 0)))?;
         let address = rustix::net::getsockname(&socket)?;
-        self.reserved.push(socket);
-        address.try_into().map_err(|_| io::Error::other("no address of the internet"))
+        self.reserved_sockets.push(socket);
+        address.try_into().map_err(|_| io::Error::other("not an IPv4 or IPv6 address"))
     }
 }
 
-struct Door {
+struct EndpointListener {
     controller: usize,
-    party: Party,
+    endpoint: Endpoint,
     address: SocketAddr,
-    entrance: Entrance,
+    state: ListenerState,
 }
 
-/// What a connection to a listening address meets.
-enum Entrance {
-    /// It is accepted.
-    Open(mio::net::TcpListener),
-    /// It never comes up: the queue of the listener is full, so the system drops what asks to connect.
+/// How an endpoint's address handles connections.
+enum ListenerState {
+    /// Connections are accepted.
+    Listening(mio::net::TcpListener),
+    /// Connections are neither established nor refused: the listener's queue is full, so the system drops connection
+    /// requests.
     Blocked { _listener: mio::net::TcpListener, _filler: mio::net::TcpStream },
-    /// It is refused.
+    /// Connections are refused.
     Closed,
 }
 
-impl Entrance {
-    /// How a party is reached by way of this.
-    fn reach(&self) -> Reach {
+impl ListenerState {
+    /// Returns the result of connecting in this state.
+    fn connect_outcome(&self) -> ConnectOutcome {
         match self {
-            Entrance::Open(_) => Reach::Up,
-            Entrance::Blocked { .. } => Reach::Never,
-            Entrance::Closed => Reach::Refused,
+            ListenerState::Listening(_) => ConnectOutcome::Accepted,
+            ListenerState::Blocked { .. } => ConnectOutcome::TimesOut,
+            ListenerState::Closed => ConnectOutcome::Refused,
         }
     }
 }
 
-struct Sock {
+struct ControllerSocket {
     stream: mio::net::TcpStream,
-    up: bool,
-    out: Vec<u8>,
-    /// Its writing side is to be closed once all is written.
-    finishes: bool,
+    established: bool,
+    unsent: Vec<u8>,
+    /// Shut down the sending direction once all output is written.
+    shutdown_when_flushed: bool,
 }
 
-impl Sock {
-    fn new(stream: mio::net::TcpStream, up: bool) -> Sock {
-        Sock { stream, up, out: Vec::new(), finishes: false }
+impl ControllerSocket {
+    fn new(stream: mio::net::TcpStream, established: bool) -> ControllerSocket {
+        ControllerSocket { stream, established, unsent: Vec::new(), shutdown_when_flushed: false }
     }
 }
 
-/// The controllers' processes; all are killed when this goes.
-struct Processes(Vec<Option<Child>>);
+/// The controller processes, by controller. All are killed on drop.
+struct ControllerProcesses(Vec<Option<Child>>);
 
-impl Drop for Processes {
+impl Drop for ControllerProcesses {
     fn drop(&mut self) {
         for child in self.0.iter_mut().flatten() {
             let _ = child.kill();
@@ -156,76 +167,77 @@
 struct Driver<'a> {
     poll: Poll,
     world: World,
-    doors: Rc<RefCell<Doors>>,
-    listeners: Vec<Door>,
-    socks: BTreeMap<WireId, Sock>,
-    /// Connections that never come up, as far as their controller can tell.
-    dead: Vec<mio::net::TcpStream>,
-    processes: Processes,
-    ending: Vec<bool>,
+    address_book: Rc<RefCell<EndpointAddressBook>>,
+    listeners: Vec<EndpointListener>,
+    sockets: BTreeMap<SimConnectionId, ControllerSocket>,
+    /// Connections that were accepted by the system but must look as if they were never established.
+    timed_out_connections: Vec<mio::net::TcpStream>,
+    processes: ControllerProcesses,
+    terminating: Vec<bool>,
     crashes: u32,
-    /// When the processes' use of the machine is read next.
+    /// Next time at which the resource usage of the processes is read.
     usage_due: Nanos,
     program: &'a Path,
     logs: Option<PathBuf>,
     folder: tempfile::TempDir,
-    begun: (Instant, Nanos),
+    started_at: (Instant, Nanos),
 }
 
-/// How a script is played.
+/// Options of a run on the wall clock.
 #[derive(Clone, Debug, Default)]
 pub struct RunOptions {
-    /// Its short form.
+    /// Run the short form of the script.
     pub short: bool,
-    /// A call of which everything is written down.
+    /// Id of a call to trace.
     pub trace: Option<u64>,
-    /// The controllers' structured logs go into this folder.
+    /// Directory for the controllers' structured logs.
     pub logs: Option<PathBuf>,
 }
 
-/// How far the driver was behind its own clock.
+/// How late the driver ran its steps, because the machine was busy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lateness {
-    /// Steps of the driver, and how many of them came late.
+    /// Number of steps.
     pub steps: u64,
-    /// See [`Lateness::steps`].
+    /// Number of steps that were later than 20 ms.
     pub late_steps: u64,
-    /// The longest that a step came late.
+    /// Largest lateness of a step.
     pub max_lateness: Nanos,
 }
 
 impl Lateness {
     fn step(&mut self, late_by: Nanos) {
         self.steps += 1;
-        self.late_steps += u64::from(late_by > LATE);
+        self.late_steps += u64::from(late_by > LATENESS_THRESHOLD);
         self.max_lateness = self.max_lateness.max(late_by);
     }
 
-    /// Whether what the machine did to the driver may have broken a rule: the slack of the rules was used up.
+    /// Whether the delays of the driver may themselves have broken a rule, because they used up the time that the rules
+    /// allow for delays.
     pub fn is_unreliable(&self) -> bool {
         self.max_lateness > SOCKET_DELAY_ALLOWANCE || self.late_steps * 100 > self.steps
     }
 }
 
-/// A script that was played.
+/// Result of a run on the wall clock.
 pub struct RunResult {
-    /// What it came to.
+    /// The report of the run.
     pub run: RunReport,
-    /// What was written down of the call that was asked for.
+    /// Trace of the call requested with [`RunOptions::trace`].
     pub trace: Vec<String>,
-    /// How far behind the driver was.
+    /// How late the driver was.
     pub lateness: Lateness,
 }
 
-/// Plays a script once against real processes of `program`.
+/// Runs a script once against real processes of `program`.
 pub fn rehearse_once(
     script: &Script,
     seed: u64,
     program: &Path,
     options: &RunOptions,
 ) -> Result<RunResult, String> {
-    if script.nodes > MOST_NODES {
-        return Err(format!("{} nodes: --clock wall plays up to {MOST_NODES}", script.nodes));
+    if script.nodes > MAX_NODES {
+        return Err(format!("{} nodes: --clock wall supports at most {MAX_NODES}", script.nodes));
     }
     if !program.is_file() {
         let hint = "build it with `cargo build --release`, or name it with --program";
@@ -234,52 +246,55 @@
     if let Some(folder) = &options.logs {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     }
-    let doors = Rc::new(RefCell::new(Doors::new()));
+    let address_book = Rc::new(RefCell::new(EndpointAddressBook::new()));
     let addresses = {
-        let doors = doors.clone();
-        Box::new(move |controller, party| doors.borrow_mut().address(controller, party))
+        let address_book = address_book.clone();
+        Box::new(move |controller, endpoint| address_book.borrow_mut().address(controller, endpoint))
     };
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_err(text("the time"))?.as_nanos() as Nanos;
-    let offers = seconds_to_nanos(crate::offering_seconds(script, options.short));
-    let mut world = World::new(script.clone(), seed, unix + HEAD_START, offers, addresses);
+    let unix_now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_err(error_context("cannot read the system time"))?
+        .as_nanos() as Nanos;
+    let arrival_period = seconds_to_nanos(crate::offering_seconds(script, options.short));
+    let mut world = World::new(script.clone(), seed, unix_now + START_DELAY, arrival_period, addresses);
     options.trace.into_iter().for_each(|call| world.auditor.trace_call(call));
-    let nodes = world.controllers();
+    let nodes = world.controller_count();
     let mut driver = Driver {
-        poll: Poll::new().map_err(text("epoll"))?,
+        poll: Poll::new().map_err(error_context("epoll"))?,
         world,
-        doors,
+        address_book,
         listeners: Vec::new(),
-        socks: BTreeMap::new(),
-        dead: Vec::new(),
-        processes: Processes((0..nodes).map(|_| None).collect()),
-        ending: vec![false; nodes],
+        sockets: BTreeMap::new(),
+        timed_out_connections: Vec::new(),
+        processes: ControllerProcesses((0..nodes).map(|_| None).collect()),
+        terminating: vec![false; nodes],
         crashes: 0,
         usage_due: 0,
         program,
         logs: options.logs.clone(),
-        folder: tempfile::tempdir().map_err(text("a folder"))?,
-        begun: (Instant::now(), unix),
+        folder: tempfile::tempdir().map_err(error_context("cannot create a temporary directory"))?,
+        started_at: (Instant::now(), unix_now),
     };
-    let lateness = driver.play()?;
+    let lateness = driver.run()?;
     let world = &mut driver.world;
-    world.close_books();
+    world.finalize();
     let run = RunReport::new(script, seed, &world.statistics, &world.auditor, world.digest());
     Ok(RunResult { run, trace: world.auditor.trace_lines().to_vec(), lateness })
 }
 
 impl Driver<'_> {
     fn now(&self) -> Nanos {
-        self.begun.1 + self.begun.0.elapsed().as_nanos() as Nanos
+        self.started_at.1 + self.started_at.0.elapsed().as_nanos() as Nanos
     }
 
-    /// Plays to the end; tells how far behind it was.
-    fn play(&mut self) -> Result<Lateness, String> {
+    /// Runs the world to its end.
+    fn run(&mut self) -> Result<Lateness, String> {
         let mut lateness = Lateness::default();
         let mut events = Events::with_capacity(1024);
-        self.acts()?;
-        while self.now() < self.world.until() {
-            let due = self.world.next_due().unwrap_or(Nanos::MAX);
-            let wait = Duration::from_nanos(due.saturating_sub(self.now())).min(LOOK);
+        self.perform_actions()?;
+        while self.now() < self.world.end_time() {
+            let due = self.world.next_event_time().unwrap_or(Nanos::MAX);
+            let wait = Duration::from_nanos(due.saturating_sub(self.now())).min(MAX_POLL_WAIT);
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(format!("epoll: {e}")),
                 _ => {}
@@ -288,153 +303,164 @@
             lateness.step(now.saturating_sub(due));
             for event in &events {
                 let token = event.token().0;
-                if token < FIRST_WIRE {
+                if token < FIRST_CONNECTION_TOKEN {
                     self.accept(token);
                 } else {
-                    self.ready((token - FIRST_WIRE) as WireId, event.is_writable());
+                    self.handle_ready(
+                        (token - FIRST_CONNECTION_TOKEN) as SimConnectionId,
+                        event.is_writable(),
+                    );
                 }
             }
             self.world.advance(now);
-            self.acts()?;
-            self.look_after()?;
+            self.perform_actions()?;
+            self.poll_processes_and_listeners()?;
             if now >= self.usage_due {
-                self.usage_due = now + READ_USAGE;
+                self.usage_due = now + USAGE_INTERVAL;
                 self.read_usage();
             }
         }
         Ok(lateness)
     }
 
-    fn register(&mut self, stream: &mut mio::net::TcpStream, wire: WireId) -> Result<(), String> {
+    fn register(
+        &mut self,
+        stream: &mut mio::net::TcpStream,
+        connection: SimConnectionId,
+    ) -> Result<(), String> {
         let interest = Interest::READABLE | Interest::WRITABLE;
-        let token = Token(FIRST_WIRE + wire as usize);
-        self.poll.registry().register(stream, token, interest).map_err(text("epoll"))
+        let token = Token(FIRST_CONNECTION_TOKEN + connection as usize);
+        self.poll.registry().register(stream, token, interest).map_err(error_context("epoll"))
     }
 
-    fn accept(&mut self, token: usize) {
+    fn accept(&mut self, listener_index: usize) {
         loop {
-            let door = &self.listeners[token];
-            let (controller, party) = (door.controller, door.party);
-            let Entrance::Open(listener) = &door.entrance else { return };
+            let endpoint_listener = &self.listeners[listener_index];
+            let (controller, endpoint) = (endpoint_listener.controller, endpoint_listener.endpoint);
+            let ListenerState::Listening(listener) = &endpoint_listener.state else { return };
             let Ok((mut stream, _)) = listener.accept() else { return };
             let _ = stream.set_nodelay(true);
-            match self.world.reach(controller, party) {
-                Reach::Up => {
+            match self.world.connect_outcome(controller, endpoint) {
+                ConnectOutcome::Accepted => {
                     let now = self.now();
-                    let wire = self.world.accepted(now, controller, party);
-                    if self.register(&mut stream, wire).is_ok() {
-                        self.socks.insert(wire, Sock::new(stream, true));
+                    let connection = self.world.controller_connected(now, controller, endpoint);
+                    if self.register(&mut stream, connection).is_ok() {
+                        self.sockets.insert(connection, ControllerSocket::new(stream, true));
                     } else {
-                        self.world.closed(now, wire);
+                        self.world.connection_closed(now, connection);
                     }
                 }
-                Reach::Never => self.dead.push(stream),
-                Reach::Refused => {}
+                ConnectOutcome::TimesOut => self.timed_out_connections.push(stream),
+                ConnectOutcome::Refused => {}
             }
         }
     }
 
-    fn ready(&mut self, wire: WireId, writable: bool) {
+    fn handle_ready(&mut self, connection: SimConnectionId, writable: bool) {
         let now = self.now();
-        let Some(sock) = self.socks.get_mut(&wire) else { return };
-        if !sock.up {
-            let failed = !matches!(sock.stream.take_error(), Ok(None)) || sock.stream.peer_addr().is_err();
+        let Some(socket) = self.sockets.get_mut(&connection) else { return };
+        if !socket.established {
+            let failed =
+                !matches!(socket.stream.take_error(), Ok(None)) || socket.stream.peer_addr().is_err();
             if failed {
-                return self.gone(now, wire);
+                return self.remove_connection(now, connection);
             }
-            sock.up = true;
-            self.world.connected(now, wire);
+            socket.established = true;
+            self.world.connection_established(now, connection);
         }
-        if writable && !self.flush(wire) {
-            return self.gone(now, wire);
+        if writable && !self.flush(connection) {
+            return self.remove_connection(now, connection);
         }
         let mut bytes = [0; 16 * 1024];
         loop {
-            let Some(sock) = self.socks.get_mut(&wire) else { return };
-            match sock.stream.read(&mut bytes) {
-                Ok(0) => return self.gone(now, wire),
-                Ok(count) => self.world.received(now, wire, &bytes[..count]),
+            let Some(socket) = self.sockets.get_mut(&connection) else { return };
+            match socket.stream.read(&mut bytes) {
+                Ok(0) => return self.remove_connection(now, connection),
+                Ok(count) => self.world.bytes_received(now, connection, &bytes[..count]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.gone(now, wire),
+                Err(_) => return self.remove_connection(now, connection),
             }
         }
     }
 
-    fn gone(&mut self, now: Nanos, wire: WireId) {
-        self.socks.remove(&wire);
-        self.world.closed(now, wire);
+    fn remove_connection(&mut self, now: Nanos, connection: SimConnectionId) {
+        self.sockets.remove(&connection);
+        self.world.connection_closed(now, connection);
     }
 
-    /// Writes what waits on a wire; false: it is gone.
-    fn flush(&mut self, wire: WireId) -> bool {
-        let Some(sock) = self.socks.get_mut(&wire).filter(|s| s.up) else { return true };
-        while !sock.out.is_empty() {
-            match sock.stream.write(&sock.out) {
-                Ok(count) => drop(sock.out.drain(..count)),
+    /// Writes pending output of a connection. Returns false if the connection is broken.
+    fn flush(&mut self, connection: SimConnectionId) -> bool {
+        let Some(socket) = self.sockets.get_mut(&connection).filter(|s| s.established) else { return true };
+        while !socket.unsent.is_empty() {
+            match socket.stream.write(&socket.unsent) {
+                Ok(count) => drop(socket.unsent.drain(..count)),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return false,
             }
         }
-        if std::mem::take(&mut sock.finishes) {
-            let _ = sock.stream.shutdown(std::net::Shutdown::Write);
+        if std::mem::take(&mut socket.shutdown_when_flushed) {
+            let _ = socket.stream.shutdown(std::net::Shutdown::Write);
         }
         true
     }
 
-    fn signal(&mut self, controller: usize, signal: Signal) -> Result<(), String> {
+    fn send_signal(&mut self, controller: usize, signal: Signal) -> Result<(), String> {
         let Some(child) = &self.processes.0[controller] else { return Ok(()) };
         let number = match signal {
             Signal::Terminate => rustix::process::Signal::TERM,
             Signal::Interrupt => rustix::process::Signal::INT,
             Signal::Reload => rustix::process::Signal::HUP,
         };
-        self.ending[controller] |= signal != Signal::Reload;
+        self.terminating[controller] |= signal != Signal::Reload;
         let sent = rustix::process::kill_process(rustix::process::Pid::from_child(child), number);
-        sent.map_err(text("a signal"))
+        sent.map_err(error_context("cannot send a signal"))
     }
 
-    fn acts(&mut self) -> Result<(), String> {
-        while let Some(act) = self.world.poll() {
-            match act {
-                Act::Connect(wire, controller) => {
-                    let address = self.doors.borrow_mut().address(controller, Party::Callers);
+    fn perform_actions(&mut self) -> Result<(), String> {
+        while let Some(action) = self.world.poll_action() {
+            match action {
+                Action::Connect(connection, controller) => {
+                    let address = self.address_book.borrow_mut().address(controller, Endpoint::Callers);
                     let now = self.now();
                     match mio::net::TcpStream::connect(address) {
                         Ok(mut stream) => {
                             let _ = stream.set_nodelay(true);
-                            self.register(&mut stream, wire)?;
-                            self.socks.insert(wire, Sock::new(stream, false));
+                            self.register(&mut stream, connection)?;
+                            self.sockets.insert(connection, ControllerSocket::new(stream, false));
                         }
-                        Err(_) => self.world.closed(now, wire),
+                        Err(_) => self.world.connection_closed(now, connection),
                     }
                 }
-                Act::Send(wire, _, bytes) => {
-                    if let Some(sock) = self.socks.get_mut(&wire) {
-                        sock.out.extend(bytes);
+                Action::Send(connection, _, bytes) => {
+                    if let Some(socket) = self.sockets.get_mut(&connection) {
+                        socket.unsent.extend(bytes);
                     }
-                    if !self.flush(wire) {
+                    if !self.flush(connection) {
                         let now = self.now();
-                        self.gone(now, wire);
+                        self.remove_connection(now, connection);
                     }
                 }
-                Act::Close(wire, _) => {
-                    self.flush(wire);
-                    self.socks.remove(&wire);
+                Action::Close(connection, _) => {
+                    self.flush(connection);
+                    self.sockets.remove(&connection);
                 }
-                Act::Start(controller, config) => self.start(controller, &config)?,
-                Act::Signal(controller, signal) => self.signal(controller, signal)?,
-                Act::Finish(wire, _) => {
-                    if let Some(sock) = self.socks.get_mut(&wire) {
-                        sock.finishes = true;
+                Action::StartController(controller, config) => self.start_process(controller, &config)?,
+                Action::SignalController(controller, signal) => self.send_signal(controller, signal)?,
+                Action::ShutdownWrite(connection, _) => {
+                    if let Some(socket) = self.sockets.get_mut(&connection) {
+                        socket.shutdown_when_flushed = true;
                     }
-                    self.flush(wire);
+                    self.flush(connection);
                 }
-                Act::Kill(controller) => {
-                    self.ending[controller] = false;
+                Action::KillController(controller) => {
+                    self.terminating[controller] = false;
                     if let Some(mut child) = self.processes.0[controller].take() {
-                        child.kill().and_then(|()| child.wait()).map_err(text("a kill"))?;
+                        child
+                            .kill()
+                            .and_then(|()| child.wait())
+                            .map_err(error_context("cannot kill a controller"))?;
                     }
                 }
             }
@@ -442,7 +468,7 @@
         Ok(())
     }
 
-    /// Reads what the processes take of the machine.
+    /// Reads memory and descriptor usage of the processes and reports them to the world.
     fn read_usage(&mut self) {
         for controller in 0..self.processes.0.len() {
             let Some(child) = &self.processes.0[controller] else { continue };
@@ -453,14 +479,14 @@
             });
             let descriptors = std::fs::read_dir(folder.join("fd")).map(|entries| entries.count() as u64);
             if let (Some(memory_mb), Ok(descriptors)) = (resident, descriptors) {
-                self.world.uses(self.now(), controller, memory_mb, descriptors);
+                self.world.report_resource_usage(self.now(), controller, memory_mb, descriptors);
             }
         }
     }
 
-    fn start(&mut self, controller: usize, config: &str) -> Result<(), String> {
+    fn start_process(&mut self, controller: usize, config: &str) -> Result<(), String> {
         let path: PathBuf = self.folder.path().join(format!("n{controller}.json"));
-        std::fs::write(&path, config).map_err(text("a configuration"))?;
+        std::fs::write(&path, config).map_err(error_context("cannot write a configuration"))?;
         let mut command = Command::new(self.program);
         command.env("EDGE_CONFIG", &path).stdin(Stdio::null()).stdout(Stdio::null());
         if let Some(logs) = &self.logs {
@@ -468,7 +494,9 @@
                 .create(true)
                 .append(true)
                 .open(logs.join(format!("n{controller}.log")));
-            command.env("DILLHOLD_LOG", LOGGED).stderr(log.map_err(text("a log"))?);
+            command
+                .env("DILLHOLD_LOG", LOG_FILTER)
+                .stderr(log.map_err(error_context("cannot open a log file"))?);
         } else if std::env::var_os("DILLHOLD_LOG").is_none() {
             command.stderr(Stdio::null());
         }
@@ -477,81 +505,99 @@
         Ok(())
     }
 
-    /// Looks after processes that end and listeners that open and close.
-    fn look_after(&mut self) -> Result<(), String> {
+    /// Handles exited processes, and opens, closes and blocks listeners as the world requires.
+    fn poll_processes_and_listeners(&mut self) -> Result<(), String> {
         let now = self.now();
-        for controller in 0..self.ending.len() {
+        for controller in 0..self.terminating.len() {
             let Some(child) = &mut self.processes.0[controller] else { continue };
-            let Some(status) = child.try_wait().map_err(text("a process"))? else { continue };
+            let Some(status) =
+                child.try_wait().map_err(error_context("cannot get the status of a controller"))?
+            else {
+                continue;
+            };
             self.processes.0[controller] = None;
-            if std::mem::take(&mut self.ending[controller]) && status.success() {
-                self.world.stopped(now, controller);
+            if std::mem::take(&mut self.terminating[controller]) && status.success() {
+                self.world.controller_stopped(now, controller);
             } else {
                 self.crashes += 1;
-                if self.crashes > MOST_CRASHES {
-                    return Err(format!("controller n{controller} ended by itself: {status}"));
+                if self.crashes > MAX_CRASHES {
+                    return Err(format!("controller n{controller} exited unexpectedly: {status}"));
                 }
-                self.world.crashed(now, controller, &status.to_string());
+                self.world.controller_crashed(now, controller, &status.to_string());
             }
-            self.acts()?;
+            self.perform_actions()?;
         }
-        let (fresh, failed) = {
-            let mut doors = self.doors.borrow_mut();
-            (std::mem::take(&mut doors.fresh), doors.failed.take())
+        let (new_listeners, failed) = {
+            let mut address_book = self.address_book.borrow_mut();
+            (std::mem::take(&mut address_book.new_listeners), address_book.error.take())
         };
         if let Some(failed) = failed {
             return Err(failed);
         }
-        for (controller, party, listener) in fresh {
-            let address = listener.local_addr().map_err(text("a listener"))?;
-            self.listeners.push(Door { controller, party, address, entrance: Entrance::Closed });
-            self.open(self.listeners.len() - 1, listener)?;
+        for (controller, endpoint, listener) in new_listeners {
+            let address = listener.local_addr().map_err(error_context("cannot set up a listener"))?;
+            self.listeners.push(EndpointListener {
+                controller,
+                endpoint,
+                address,
+                state: ListenerState::Closed,
+            });
+            self.register_listener(self.listeners.len() - 1, listener)?;
         }
-        for door in 0..self.listeners.len() {
-            let d = &self.listeners[door];
-            let (wanted, present) = (self.world.reach(d.controller, d.party), d.entrance.reach());
+        for listener_index in 0..self.listeners.len() {
+            let endpoint_listener = &self.listeners[listener_index];
+            let (wanted, present) = (
+                self.world.connect_outcome(endpoint_listener.controller, endpoint_listener.endpoint),
+                endpoint_listener.state.connect_outcome(),
+            );
             match wanted {
                 _ if wanted == present => {}
-                Reach::Up => self.reopen(door)?,
-                Reach::Refused => self.listeners[door].entrance = Entrance::Closed,
-                Reach::Never => self.block(door)?,
+                ConnectOutcome::Accepted => self.reopen(listener_index)?,
+                ConnectOutcome::Refused => self.listeners[listener_index].state = ListenerState::Closed,
+                ConnectOutcome::TimesOut => self.block_connections(listener_index)?,
             }
         }
         Ok(())
     }
 
-    /// Listens again at the address of a party.
-    fn reopen(&mut self, door: usize) -> Result<(), String> {
-        let d = &mut self.listeners[door];
-        d.entrance = Entrance::Closed;
-        let listener = TcpListener::bind(d.address).map_err(text("a listener"))?;
-        self.open(door, listener)
+    /// Listens again at the address of an endpoint.
+    fn reopen(&mut self, listener_index: usize) -> Result<(), String> {
+        let endpoint_listener = &mut self.listeners[listener_index];
+        endpoint_listener.state = ListenerState::Closed;
+        let listener = TcpListener::bind(endpoint_listener.address)
+            .map_err(error_context("cannot set up a listener"))?;
+        self.register_listener(listener_index, listener)
     }
 
-    /// Lets no connection come up any more, nor be refused: the listener's queue takes one connection, and that
-    /// one is ours.
-    fn block(&mut self, door: usize) -> Result<(), String> {
-        if matches!(self.listeners[door].entrance, Entrance::Closed) {
-            self.reopen(door)?;
+    /// Makes new connections neither succeed nor be refused: the listener's queue holds a single connection, and this
+    /// function fills it.
+    fn block_connections(&mut self, listener_index: usize) -> Result<(), String> {
+        if matches!(self.listeners[listener_index].state, ListenerState::Closed) {
+            self.reopen(listener_index)?;
         }
-        self.accept(door);
-        let d = &mut self.listeners[door];
-        let Entrance::Open(mut listener) = std::mem::replace(&mut d.entrance, Entrance::Closed) else {
+        self.accept(listener_index);
+        let endpoint_listener = &mut self.listeners[listener_index];
+        let ListenerState::Listening(mut listener) =
+            std::mem::replace(&mut endpoint_listener.state, ListenerState::Closed)
+        else {
             return Ok(());
         };
-        self.poll.registry().deregister(&mut listener).map_err(text("epoll"))?;
-        rustix::net::listen(&listener, 0).map_err(text("a listener"))?;
-        let filler = mio::net::TcpStream::connect(d.address).map_err(text("a connection"))?;
-        d.entrance = Entrance::Blocked { _listener: listener, _filler: filler };
+        self.poll.registry().deregister(&mut listener).map_err(error_context("epoll"))?;
+        rustix::net::listen(&listener, 0).map_err(error_context("cannot set up a listener"))?;
+        let filler = mio::net::TcpStream::connect(endpoint_listener.address)
+            .map_err(error_context("cannot fill the queue of a listener"))?;
+        endpoint_listener.state = ListenerState::Blocked { _listener: listener, _filler: filler };
         Ok(())
     }
 
-    fn open(&mut self, door: usize, listener: TcpListener) -> Result<(), String> {
-        listener.set_nonblocking(true).map_err(text("a listener"))?;
+    fn register_listener(&mut self, listener_index: usize, listener: TcpListener) -> Result<(), String> {
+        listener.set_nonblocking(true).map_err(error_context("cannot set up a listener"))?;
         let mut listener = mio::net::TcpListener::from_std(listener);
         let registry = self.poll.registry();
-        registry.register(&mut listener, Token(door), Interest::READABLE).map_err(text("epoll"))?;
-        self.listeners[door].entrance = Entrance::Open(listener);
+        registry
+            .register(&mut listener, Token(listener_index), Interest::READABLE)
+            .map_err(error_context("epoll"))?;
+        self.listeners[listener_index].state = ListenerState::Listening(listener);
         Ok(())
     }
 }
--- a/rehearsal/src/world/bad_callers.rs
+++ b/rehearsal/src/world/bad_callers.rs
@@ -1,40 +1,40 @@
-//! Bad callers: they connect where callers do and send what cannot be served, half of it, or nothing. Each is owed an
-//! answer or a close within some seconds.
+//! Bad callers: clients that connect to the callers' address and send invalid or incomplete messages, or nothing. The
+//! controller has to answer or disconnect each of them in time.
 
 use dillhold::codec::binary::{self, kind, param};
 use pitchgw::interface::Nanos;
 use rand::Rng;
 
-use super::{seconds_to_nanos, Act, Due, Party, WireId, World, SEC};
+use super::{seconds_to_nanos, Action, Endpoint, Event, SimConnectionId, World, SEC};
 use crate::audit::Observation;
 
-/// A bad caller has to be told something, or to be closed, within this time.
-const TOLD_WITHIN: Nanos = 3 * SEC;
+/// Time within which a controller has to answer or disconnect a bad caller.
+const RESPONSE_TIMEOUT: Nanos = 3 * SEC;
 
-/// What a bad caller does.
+/// How a bad caller violates the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
+enum Misbehaviour {
     Silent,
-    Noise,
-    HalfAMessage,
-    /// A set-up of a class that does not exist.
-    Unservable,
-    /// The same, and the writing side is closed behind it.
-    UnservableThenEnd,
-    /// A set-up without any time left.
-    NoTime,
+    Garbage,
+    TruncatedMessage,
+    /// Sends a set-up of a class that does not exist.
+    UnknownClass,
+    /// As [`Misbehaviour::UnknownClass`], and shuts down the sending direction after it.
+    UnknownClassHalfClosed,
+    /// Sends a set-up with a timeout of 0.
+    ZeroWait,
 }
 
-const MANNERS: [Manner; 6] = [
-    Manner::Silent,
-    Manner::Noise,
-    Manner::HalfAMessage,
-    Manner::Unservable,
-    Manner::UnservableThenEnd,
-    Manner::NoTime,
+const MISBEHAVIOURS: [Misbehaviour; 6] = [
+    Misbehaviour::Silent,
+    Misbehaviour::Garbage,
+    Misbehaviour::TruncatedMessage,
+    Misbehaviour::UnknownClass,
+    Misbehaviour::UnknownClassHalfClosed,
+    Misbehaviour::ZeroWait,
 ];
 
-fn set_up(id: u64, class: &str, wait: &[u8]) -> Vec<u8> {
+fn encode_set_up(id: u64, class: &str, wait: &[u8]) -> Vec<u8> {
     let mut message = Vec::new();
     let parameters = [
         (param::CLASS, class.as_bytes()),
@@ -48,46 +48,55 @@
 }
 
 impl World {
-    /// A bad caller connects, and the next one is on its way for as long as the event lasts.
-    pub(super) fn bad_caller(&mut self, event: usize, controller: usize) {
+    /// Connects a bad caller and schedules the next one, until the script event ends.
+    pub(super) fn connect_bad_caller(&mut self, event_index: usize, controller: usize) {
         let (every, ends) = {
-            let event = &self.script.events[event];
+            let event = &self.script.events[event_index];
             (event.every.map_or(1.0, |every| every.0), event.end_seconds())
         };
-        if self.seconds() >= ends {
+        if self.elapsed_seconds() >= ends {
             return;
         }
-        self.later(seconds_to_nanos(every), Due::BadCaller(event, controller));
-        if !self.running[controller] || !self.fronted[controller] {
+        self.schedule_in(seconds_to_nanos(every), Event::BadCallerConnects(event_index, controller));
+        if !self.running[controller] || !self.in_rotation[controller] {
             return;
         }
-        let manner = MANNERS[self.rng.random_range(0..MANNERS.len())];
+        let misbehaviour = MISBEHAVIOURS[self.rng.random_range(0..MISBEHAVIOURS.len())];
         let id: u64 = self.rng.random::<u64>().max(1);
         let class = self.script.classes[0].name.clone();
-        let bytes = match manner {
-            Manner::Silent => Vec::new(),
-            Manner::Noise => vec![0, 3, 1, 2, 3],
-            Manner::HalfAMessage => set_up(id, &class, b"900")[..20].to_vec(),
-            Manner::Unservable | Manner::UnservableThenEnd => set_up(id, "none", b"900"),
-            Manner::NoTime => set_up(id, &class, b"0"),
+        let bytes = match misbehaviour {
+            Misbehaviour::Silent => Vec::new(),
+            Misbehaviour::Garbage => vec![0, 3, 1, 2, 3],
+            Misbehaviour::TruncatedMessage => encode_set_up(id, &class, b"900")[..20].to_vec(),
+            Misbehaviour::UnknownClass | Misbehaviour::UnknownClassHalfClosed => {
+                encode_set_up(id, "none", b"900")
+            }
+            Misbehaviour::ZeroWait => encode_set_up(id, &class, b"0"),
         };
-        let wire = self.new_wire(controller, Party::BadCaller, false);
-        self.bad_callers.insert(wire, false);
-        self.acts.push_back(Act::Connect(wire, controller));
-        self.send(wire, &bytes);
-        if manner == Manner::UnservableThenEnd {
-            self.acts.push_back(Act::Finish(wire, controller));
+        let connection_id = self.new_connection(controller, Endpoint::BadCaller, false);
+        self.bad_callers.insert(connection_id, false);
+        self.actions.push_back(Action::Connect(connection_id, controller));
+        self.send(connection_id, &bytes);
+        if misbehaviour == Misbehaviour::UnknownClassHalfClosed {
+            self.actions.push_back(Action::ShutdownWrite(connection_id, controller));
         }
-        self.later(TOLD_WITHIN, Due::EndBadCaller(wire));
+        self.schedule_in(RESPONSE_TIMEOUT, Event::BadCallerDeadline(connection_id));
     }
 
-    /// A bad caller that is still there must have been told something by now; then it leaves.
-    pub(super) fn bad_caller_due(&mut self, wire: WireId) {
-        let Some(told) = self.bad_callers.remove(&wire) else { return };
-        let Some(controller) = self.wires.get(&wire).filter(|w| w.up).map(|w| w.controller) else { return };
-        if !told && self.terminated[controller].is_none() {
+    /// Disconnects a bad caller at its deadline and reports it to the auditor if the controller has ignored it.
+    pub(super) fn check_bad_caller_answered(&mut self, connection_id: SimConnectionId) {
+        let Some(answered) = self.bad_callers.remove(&connection_id) else { return };
+        let Some(controller) = self
+            .connections
+            .get(&connection_id)
+            .filter(|connection| connection.established)
+            .map(|connection| connection.controller)
+        else {
+            return;
+        };
+        if !answered && self.terminated_at[controller].is_none() {
             self.auditor.observe(self.now, Observation::BadCallerIgnored { controller });
         }
-        self.hang_up(wire);
+        self.close_connection(connection_id);
     }
 }
--- a/rehearsal/src/world/callers.rs
+++ b/rehearsal/src/world/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: calls that arrive, tries, patience, redials. Also the calls in transit that a node hands to its own
-//! controller, which come the same way.
+//! Callers: call arrivals, tries, timeouts and redials. Also the calls in transit that a tandem offers to its own
+//! controller, which use the same connections and messages.
 
 use std::collections::BTreeMap;
 
@@ -10,544 +10,625 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
 
-use super::processor::What;
-use super::{seconds_to_nanos, Act, Due, Party, WireId, World, MS, RECONNECT};
+use super::processor::JobKind;
+use super::{seconds_to_nanos, Action, Endpoint, Event, SimConnectionId, World, MS, RECONNECT_DELAY};
 use crate::audit::{Observation, ANSWER_GRACE};
 use crate::report::{CallOutcome, LostCall};
 use crate::script::Script;
 
-/// A set-up that crosses the close of its connection by less than this is sent again, once.
-const CROSSED: Nanos = 50 * MS;
-/// A set-up that is written in pieces has so many, so much time apart.
-const PIECES: Nanos = 3;
-const PIECE_GAP: Nanos = 30 * MS;
-/// Arrivals are drawn afresh at least so often, for the rate may have changed.
-const REDRAW: f64 = 0.25;
-/// Causes that tell a caller that it was refused and may try again.
-const REFUSED: [u8; 3] = [34, 42, 102];
-
-/// A caller that wants a call set up, across its tries.
+/// A set-up sent less than this before its connection closed is sent again, once.
+const RESEND_WINDOW: Nanos = 50 * MS;
+/// Number of pieces of a set-up that is sent in pieces.
+const PIECE_COUNT: Nanos = 3;
+/// Time between two pieces.
+const PIECE_INTERVAL: Nanos = 30 * MS;
+/// Inter-arrival times are drawn again at least this often, because the arrival rate may have changed.
+const MAX_ARRIVAL_GAP_SECONDS: f64 = 0.25;
+/// Q.850 causes that mean that the call was refused and may be tried again.
+const REFUSAL_CAUSES: [u8; 3] = [34, 42, 102];
+
+/// A call that a caller wants to make, over all its tries.
 #[derive(Clone, Debug)]
-pub(super) struct Intent {
+pub(super) struct CallIntent {
     pub class: usize,
     pub origin: usize,
     pub destination: usize,
-    pub first: Nanos,
-    hold: Nanos,
+    pub first_try_at: Nanos,
+    hold_time: Nanos,
     number: u64,
-    heeds: bool,
-    again: bool,
+    follows_retry_advice: bool,
+    redials_after_cut: bool,
     tries: u32,
-    /// The id of the present try.
-    pub id: u64,
-    cut_before: bool,
-    /// When the call came to stand.
-    pub stood: Option<Nanos>,
-    last: CallOutcome,
+    /// Id of the current try.
+    pub call_id: u64,
+    was_cut: bool,
+    pub stands_since: Option<Nanos>,
+    last_outcome: CallOutcome,
 }
 
-/// Whose call a side is.
+/// Where a call offered to a controller comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Owner {
+pub(super) enum CallOwner {
+    /// A caller, by intent id.
     Caller(u64),
-    /// A call in transit: the leg that brought it.
+    /// A call in transit, by the id of the leg that brought it.
     Transit(u64),
 }
 
-/// A call as it is known on the callers' side of a controller.
+/// A call offered to a controller, as the caller's side sees it.
 #[derive(Clone, Debug)]
-pub(super) struct Side {
-    pub owner: Owner,
+pub(super) struct OfferedCall {
+    pub owner: CallOwner,
     pub destination: usize,
     pub class: usize,
     pub stands: bool,
-    wire: WireId,
-    sent: Nanos,
+    connection_id: SimConnectionId,
+    sent_at: Nanos,
     resent: bool,
+    /// The encoded set-up, kept for sending it again.
     message: Vec<u8>,
 }
 
-/// How a set-up is brought to a controller.
+/// How a set-up is sent to a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Delivery {
-    /// On one of the connections that callers share.
+enum DeliveryMode {
+    /// On one of the shared connections.
     Pooled,
-    /// On a connection of its own, whose writing side is closed behind it.
+    /// On a dedicated connection, whose sending direction is shut down after the set-up.
     HalfClosed,
-    /// On a connection of its own, in pieces.
+    /// On a dedicated connection, in several pieces.
     Pieces,
 }
 
-impl Delivery {
-    /// The time from its first byte to its last.
-    fn takes(self) -> Nanos {
+impl DeliveryMode {
+    /// Returns the time from the first byte of the set-up to the last.
+    fn duration(self) -> Nanos {
         match self {
-            Delivery::Pooled | Delivery::HalfClosed => 0,
-            Delivery::Pieces => PIECE_GAP * (PIECES - 1),
+            DeliveryMode::Pooled | DeliveryMode::HalfClosed => 0,
+            DeliveryMode::Pieces => PIECE_INTERVAL * (PIECE_COUNT - 1),
         }
     }
 }
 
-/// The books on callers.
-pub(super) struct Callers {
-    streams: Vec<ChaCha8Rng>,
-    /// Whether the next arrival of a node is one, and not only the time to draw again.
-    real: Vec<bool>,
-    /// Connections of each controller's callers.
-    pool: Vec<Vec<Option<WireId>>>,
-    /// By controller and call.
-    pub sides: BTreeMap<(usize, u64), Side>,
+/// State of all callers.
+pub(super) struct CallerState {
+    /// By node, the random numbers of its call arrivals.
+    arrival_rngs: Vec<ChaCha8Rng>,
+    /// By node, whether its next arrival event is a call, rather than only the time to draw again.
+    next_is_call: Vec<bool>,
+    /// By controller, the shared connections of its callers.
+    connection_pools: Vec<Vec<Option<SimConnectionId>>>,
+    /// By controller and call id.
+    pub offered_calls: BTreeMap<(usize, u64), OfferedCall>,
     next_intent: u64,
-    /// Multiples of the calls offered by each node, by event.
-    pub demand: Vec<BTreeMap<usize, f64>>,
-    /// Events that make callers ignore advice.
-    pub ignoring: u32,
+    /// By node, the load factors of active script events, by event.
+    pub demand_factors: Vec<BTreeMap<usize, f64>>,
+    /// Number of active script events in which callers ignore retry advice.
+    pub ignore_advice_events: u32,
 }
 
-impl Callers {
-    pub fn new(script: &Script, seed: u64) -> Callers {
+impl CallerState {
+    pub fn new(script: &Script, seed: u64) -> CallerState {
         let nodes = script.nodes as usize;
         let stream = |n| {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             rng.set_stream(1000 + n as u64);
             rng
         };
-        Callers {
-            streams: (0..nodes).map(stream).collect(),
-            real: vec![false; nodes],
-            pool: vec![vec![None; script.callers.connections as usize]; nodes],
-            sides: BTreeMap::new(),
+        CallerState {
+            arrival_rngs: (0..nodes).map(stream).collect(),
+            next_is_call: vec![false; nodes],
+            connection_pools: vec![vec![None; script.callers.connections as usize]; nodes],
+            offered_calls: BTreeMap::new(),
             next_intent: 0,
-            demand: vec![BTreeMap::new(); nodes],
-            ignoring: 0,
+            demand_factors: vec![BTreeMap::new(); nodes],
+            ignore_advice_events: 0,
         }
     }
 }
 
 impl World {
-    /// Draws when the next call of a node comes. The time to the next is memoryless, so drawing again after a
-    /// while follows a rate that changes.
+    /// Draws the time of a node's next call. Inter-arrival times are exponential and so memoryless: drawing again
+    /// after a while follows a changing rate.
     pub(super) fn schedule_arrival(&mut self, origin: usize) {
-        let demand: f64 = self.callers.demand[origin].values().product();
-        let s = &self.script;
-        let rate = s.planned_calls.0 / f64::from(s.nodes) * s.load.0 * s.profile_at(self.seconds()) * demand;
-        let draw: f64 = Exp1.sample(&mut self.callers.streams[origin]);
+        let demand: f64 = self.callers.demand_factors[origin].values().product();
+        let script = &self.script;
+        let rate = script.planned_calls.0 / f64::from(script.nodes)
+            * script.load.0
+            * script.profile_at(self.elapsed_seconds())
+            * demand;
+        let draw: f64 = Exp1.sample(&mut self.callers.arrival_rngs[origin]);
         let gap = draw / rate.max(1e-9);
-        self.callers.real[origin] = gap <= REDRAW;
-        self.later(seconds_to_nanos(gap.min(REDRAW)), Due::Arrival(origin));
+        self.callers.next_is_call[origin] = gap <= MAX_ARRIVAL_GAP_SECONDS;
+        self.schedule_in(seconds_to_nanos(gap.min(MAX_ARRIVAL_GAP_SECONDS)), Event::Arrival(origin));
     }
 
     pub(super) fn arrival(&mut self, origin: usize) {
-        if self.now >= self.offers_until {
+        if self.now >= self.arrivals_end {
             return;
         }
-        if self.callers.real[origin] {
+        if self.callers.next_is_call[origin] {
             let script = &self.script;
-            let rng = &mut self.callers.streams[origin];
+            let rng = &mut self.callers.arrival_rngs[origin];
             let shares: f64 = script.classes.iter().map(|c| c.share.0).sum();
-            let mut left = rng.random::<f64>() * shares;
+            let mut remaining = rng.random::<f64>() * shares;
             let found = script.classes.iter().position(|c| {
-                left -= c.share.0;
-                left < 0.0
+                remaining -= c.share.0;
+                remaining < 0.0
             });
             let class = found.unwrap_or(0);
             let hold: f64 = Exp1.sample(rng);
-            let intent = Intent {
+            let intent = CallIntent {
                 class,
                 origin,
-                destination: self.network.destination(origin, rng.random()),
-                first: self.now,
-                hold: seconds_to_nanos(hold * script.classes[class].hold.0),
+                destination: self.network.draw_destination(origin, rng.random()),
+                first_try_at: self.now,
+                hold_time: seconds_to_nanos(hold * script.classes[class].hold.0),
                 number: rng.random(),
-                heeds: rng.random::<f64>() < script.callers.heed.0,
-                again: rng.random::<f64>() < script.callers.cut_again.0,
+                follows_retry_advice: rng.random::<f64>() < script.callers.heed.0,
+                redials_after_cut: rng.random::<f64>() < script.callers.cut_again.0,
                 tries: 0,
-                id: 0,
-                cut_before: false,
-                stood: None,
-                last: CallOutcome::Failed,
+                call_id: 0,
+                was_cut: false,
+                stands_since: None,
+                last_outcome: CallOutcome::Failed,
             };
             let id = self.callers.next_intent;
             self.callers.next_intent += 1;
-            self.statistics.record_offered(class, self.seconds());
+            self.statistics.record_offered(class, self.elapsed_seconds());
             self.intents.insert(id, intent);
             self.dial(id);
         }
         self.schedule_arrival(origin);
     }
 
-    /// A caller tries.
-    pub(super) fn dial(&mut self, intent: u64) {
-        let Some(i) = self.intents.get_mut(&intent) else { return };
-        let class = &self.script.classes[i.class];
-        let gives_up = i.first + seconds_to_nanos(class.deadline.0);
+    /// Starts a caller's next try.
+    pub(super) fn dial(&mut self, intent_id: u64) {
+        let Some(intent) = self.intents.get_mut(&intent_id) else { return };
+        let class = &self.script.classes[intent.class];
+        let gives_up_at = intent.first_try_at + seconds_to_nanos(class.deadline.0);
         let (now, patience) = (self.now, seconds_to_nanos(class.deadline.0 * self.script.callers.patience.0));
-        let wait = patience.min(gives_up.saturating_sub(now));
-        i.tries += 1;
-        i.id = self.rng.random::<u64>().max(1);
-        let (id, origin, tries) = (i.id, i.origin, i.tries);
-        let (number, destination, class_no, again) = (i.number, i.destination, i.class, i.cut_before);
-        if !self.takes_callers(origin) {
-            return self.try_ended(intent, CallOutcome::Failed, None);
+        let wait = patience.min(gives_up_at.saturating_sub(now));
+        intent.tries += 1;
+        intent.call_id = self.rng.random::<u64>().max(1);
+        let (id, origin, tries) = (intent.call_id, intent.origin, intent.tries);
+        let (number, destination, class_index, redial_after_cut) =
+            (intent.number, intent.destination, intent.class, intent.was_cut);
+        if !self.is_reachable_by_callers(origin) {
+            return self.handle_failed_try(intent_id, CallOutcome::Failed, None);
         }
-        self.job(origin, self.script.processor.look.0, What::Other);
-        let advice = if self.script.advice.given { self.network.advice(origin, destination) } else { None };
+        self.enqueue_job(origin, self.script.processor.look.0, JobKind::Other);
+        let advice =
+            if self.script.advice.given { self.network.advised_tandem(origin, destination) } else { None };
         let via = advice.map_or(-1, |t| t as i64);
-        let mut figures =
-            format!("dest:{destination};width:{};via:{via}", self.script.classes[class_no].width);
-        if again {
-            figures.push_str(";again:1");
+        let mut attributes =
+            format!("dest:{destination};width:{};via:{via}", self.script.classes[class_index].width);
+        if redial_after_cut {
+            attributes.push_str(";again:1");
         }
         let number = format!("{number:016x}");
-        let owner = Owner::Caller(intent);
-        self.offer(origin, id, owner, (class_no, destination, wait), &number, &figures, &describe(id));
-        // An answer still counts for a moment after the deadline; the auditor reckons with the deadline itself.
-        let longest_delivery = Delivery::Pieces.takes();
+        let owner = CallOwner::Caller(intent_id);
+        self.offer_call(
+            origin,
+            id,
+            owner,
+            (class_index, destination, wait),
+            &number,
+            &attributes,
+            &session_description(id),
+        );
+        // The caller accepts answers for a grace period after the deadline; the auditor checks the deadline itself.
+        let longest_delivery = DeliveryMode::Pieces.duration();
         let grace =
             if self.script.callers.pieces.0 > 0.0 { ANSWER_GRACE + longest_delivery } else { ANSWER_GRACE };
-        self.later(wait + grace, Due::GiveUp(intent, tries));
+        self.schedule_in(wait + grace, Event::CallerTimeout(intent_id, tries));
     }
 
-    /// Hands a set-up to a controller.
+    /// Sends a set-up to a controller.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn offer(
+    pub(super) fn offer_call(
         &mut self,
         controller: usize,
         id: u64,
-        owner: Owner,
+        owner: CallOwner,
         (class, destination, wait): (usize, usize, Nanos),
         number: &str,
-        figures: &str,
+        attributes: &str,
         description: &[u8],
     ) {
-        let name = self.script.classes[class].name.clone();
+        let class_name = self.script.classes[class].name.clone();
         let mut message = Vec::new();
-        let ms = (wait / MS).max(1).to_string();
+        let timeout_ms = (wait / MS).max(1).to_string();
         binary::write(
             &mut message,
             kind::SET_UP,
             id,
             &[
-                (param::CLASS, name.as_bytes()),
-                (param::TIMEOUT_MS, ms.as_bytes()),
+                (param::CLASS, class_name.as_bytes()),
+                (param::TIMEOUT_MS, timeout_ms.as_bytes()),
                 (param::CALLED_NUMBER, number.as_bytes()),
-                (param::ATTRIBUTES, figures.as_bytes()),
+                (param::ATTRIBUTES, attributes.as_bytes()),
                 (param::DESCRIPTION, description),
             ],
         );
-        let delivery = self.draw_delivery(controller, owner);
-        let transit = match owner {
-            Owner::Transit(leg) => self.legs.get(&leg).map(|l| l.call),
-            Owner::Caller(_) => None,
+        let delivery_mode = self.draw_delivery_mode(controller, owner);
+        let parent_call = match owner {
+            CallOwner::Transit(leg_id) => self.legs.get(&leg_id).map(|leg| leg.call_id),
+            CallOwner::Caller(_) => None,
+        };
+        let connection_id = match delivery_mode {
+            DeliveryMode::Pooled => self.pool_connection(controller, id),
+            DeliveryMode::HalfClosed | DeliveryMode::Pieces => self.dedicated_connection(controller),
         };
-        let wire = match delivery {
-            Delivery::Pooled => self.caller_wire(controller, id),
-            Delivery::HalfClosed | Delivery::Pieces => self.own_wire(controller),
+        let sent_at = self.now + delivery_mode.duration();
+        let call = OfferedCall {
+            owner,
+            destination,
+            class,
+            stands: false,
+            connection_id,
+            sent_at,
+            resent: false,
+            message: Vec::new(),
         };
-        let sent = self.now + delivery.takes();
-        let side =
-            Side { owner, destination, class, stands: false, wire, sent, resent: false, message: Vec::new() };
-        self.callers.sides.insert((controller, id), side);
+        self.callers.offered_calls.insert((controller, id), call);
         self.auditor.observe(
             self.now,
             Observation::SetUpFromCaller {
                 controller,
                 id,
-                class: &name,
+                class: &class_name,
                 number,
                 description,
-                timeout: wait + delivery.takes(),
+                timeout: wait + delivery_mode.duration(),
                 destination,
-                parent_call: transit,
+                parent_call,
             },
         );
-        self.deliver(wire, delivery, controller, &message);
-        if let Some(side) = self.callers.sides.get_mut(&(controller, id)) {
-            side.message = message;
+        self.send_set_up(connection_id, delivery_mode, controller, &message);
+        if let Some(call) = self.callers.offered_calls.get_mut(&(controller, id)) {
+            call.message = message;
         }
     }
 
-    /// How a set-up is brought to a controller.
-    fn draw_delivery(&mut self, controller: usize, owner: Owner) -> Delivery {
+    /// Draws how a set-up is sent. Calls in transit always use the shared connections.
+    fn draw_delivery_mode(&mut self, controller: usize, owner: CallOwner) -> DeliveryMode {
         let callers = &self.script.callers;
         let (half_close, pieces) = (callers.half_close.0, callers.pieces.0);
-        if half_close + pieces == 0.0 || matches!(owner, Owner::Transit(_)) || !self.fronted[controller] {
-            return Delivery::Pooled;
+        if half_close + pieces == 0.0
+            || matches!(owner, CallOwner::Transit(_))
+            || !self.in_rotation[controller]
+        {
+            return DeliveryMode::Pooled;
         }
         match self.rng.random::<f64>() {
-            draw if draw < half_close => Delivery::HalfClosed,
-            draw if draw < half_close + pieces => Delivery::Pieces,
-            _ => Delivery::Pooled,
+            draw if draw < half_close => DeliveryMode::HalfClosed,
+            draw if draw < half_close + pieces => DeliveryMode::Pieces,
+            _ => DeliveryMode::Pooled,
         }
     }
 
-    /// A connection for one caller.
-    fn own_wire(&mut self, controller: usize) -> WireId {
-        let wire = self.new_wire(controller, Party::Callers, false);
-        self.acts.push_back(Act::Connect(wire, controller));
-        wire
+    /// Opens a connection for a single call.
+    fn dedicated_connection(&mut self, controller: usize) -> SimConnectionId {
+        let connection_id = self.new_connection(controller, Endpoint::Callers, false);
+        self.actions.push_back(Action::Connect(connection_id, controller));
+        connection_id
     }
 
-    fn deliver(&mut self, wire: WireId, delivery: Delivery, controller: usize, message: &[u8]) {
-        if delivery != Delivery::Pieces {
-            self.send(wire, message);
+    fn send_set_up(
+        &mut self,
+        connection_id: SimConnectionId,
+        delivery_mode: DeliveryMode,
+        controller: usize,
+        message: &[u8],
+    ) {
+        if delivery_mode != DeliveryMode::Pieces {
+            self.send(connection_id, message);
         }
-        match delivery {
-            Delivery::Pooled => {}
-            Delivery::HalfClosed => self.acts.push_back(Act::Finish(wire, controller)),
-            Delivery::Pieces => {
-                let pieces = message.chunks(message.len().div_ceil(PIECES as usize));
+        match delivery_mode {
+            DeliveryMode::Pooled => {}
+            DeliveryMode::HalfClosed => {
+                self.actions.push_back(Action::ShutdownWrite(connection_id, controller))
+            }
+            DeliveryMode::Pieces => {
+                let pieces = message.chunks(message.len().div_ceil(PIECE_COUNT as usize));
                 for (number, piece) in pieces.enumerate() {
-                    self.later(PIECE_GAP * number as Nanos, Due::Bytes(wire, piece.to_vec()));
+                    self.schedule_in(
+                        PIECE_INTERVAL * number as Nanos,
+                        Event::SendBytes(connection_id, piece.to_vec()),
+                    );
                 }
             }
         }
     }
 
-    /// Whether a caller has a way to a controller: one that ends is sent no new connections, but open ones are used.
-    pub(super) fn takes_callers(&self, controller: usize) -> bool {
-        self.fronted[controller] || self.running[controller] && self.open_wire(controller).is_some()
+    /// Whether callers can reach a controller. One that is shutting down gets no new connections, but open ones are
+    /// still used.
+    pub(super) fn is_reachable_by_callers(&self, controller: usize) -> bool {
+        self.in_rotation[controller]
+            || self.running[controller] && self.open_pool_connection(controller).is_some()
     }
 
-    fn open_wire(&self, controller: usize) -> Option<WireId> {
-        let mut open = self.callers.pool[controller].iter().flatten().copied();
-        open.find(|wire| self.wires.get(wire).is_some_and(|w| w.up))
+    fn open_pool_connection(&self, controller: usize) -> Option<SimConnectionId> {
+        let mut open = self.callers.connection_pools[controller].iter().flatten().copied();
+        open.find(|connection_id| {
+            self.connections.get(connection_id).is_some_and(|connection| connection.established)
+        })
     }
 
-    fn caller_wire(&mut self, controller: usize, id: u64) -> WireId {
-        if let Some(open) = self.open_wire(controller).filter(|_| !self.fronted[controller]) {
+    fn pool_connection(&mut self, controller: usize, id: u64) -> SimConnectionId {
+        if let Some(open) = self.open_pool_connection(controller).filter(|_| !self.in_rotation[controller]) {
             return open;
         }
-        let slot = id as usize % self.callers.pool[controller].len();
-        if let Some(wire) = self.callers.pool[controller][slot].filter(|w| self.wires.contains_key(w)) {
-            return wire;
+        let slot = id as usize % self.callers.connection_pools[controller].len();
+        if let Some(connection_id) =
+            self.callers.connection_pools[controller][slot].filter(|id| self.connections.contains_key(id))
+        {
+            return connection_id;
         }
-        let wire = self.new_wire(controller, Party::Callers, false);
-        self.callers.pool[controller][slot] = Some(wire);
-        self.acts.push_back(Act::Connect(wire, controller));
-        wire
+        let connection_id = self.new_connection(controller, Endpoint::Callers, false);
+        self.callers.connection_pools[controller][slot] = Some(connection_id);
+        self.actions.push_back(Action::Connect(connection_id, controller));
+        connection_id
     }
 
-    /// Callers whose calls stand keep a connection, for what ends their calls to be told on.
+    /// Opens a connection if the controller has standing calls and none is open, so that it can release them.
     pub(super) fn reconnect(&mut self, controller: usize) {
-        let within = (controller, 0)..=(controller, u64::MAX);
-        let stands = self.callers.sides.range(within).find(|(_, s)| s.stands).map(|((_, id), _)| *id);
-        let open = self.callers.pool[controller].iter().flatten().any(|w| self.wires.contains_key(w));
+        let call_range = (controller, 0)..=(controller, u64::MAX);
+        let stands =
+            self.callers.offered_calls.range(call_range).find(|(_, s)| s.stands).map(|((_, id), _)| *id);
+        let open = self.callers.connection_pools[controller]
+            .iter()
+            .flatten()
+            .any(|id| self.connections.contains_key(id));
         if let (Some(id), false, true) = (stands, open, self.running[controller]) {
-            self.caller_wire(controller, id);
+            self.pool_connection(controller, id);
         }
     }
 
-    /// Takes in what a controller says to callers; false: it cannot be read.
-    pub(super) fn callers_hear(&mut self, controller: usize, inbox: &mut ReadBuffer) -> bool {
+    /// Handles messages from a controller to callers. Returns false if they cannot be parsed.
+    pub(super) fn handle_caller_messages(&mut self, controller: usize, inbox: &mut ReadBuffer) -> bool {
         loop {
-            let (kind, id, cause, pause, description, taken) = match binary::parse(inbox.unread()) {
+            let (kind, id, cause, retry_after_ms, description, consumed) = match binary::parse(inbox.unread())
+            {
                 Err(_) => return false,
                 Ok(None) => return true,
-                Ok(Some((m, taken))) => {
-                    let pause = m
+                Ok(Some((m, consumed))) => {
+                    let retry_after_ms = m
                         .parameter(param::RETRY_AFTER_MS)
                         .and_then(|p| std::str::from_utf8(p).ok()?.parse().ok());
                     let description = m.parameter(param::DESCRIPTION).unwrap_or_default().to_vec();
-                    (m.kind, m.call_id, m.cause().unwrap_or(0), pause, description, taken)
+                    (m.kind, m.call_id, m.cause().unwrap_or(0), retry_after_ms, description, consumed)
                 }
             };
-            inbox.consume(taken);
+            inbox.consume(consumed);
             match kind {
                 kind::ANSWER => {
                     let description = &description;
                     self.auditor
                         .observe(self.now, Observation::AnswerToCaller { controller, id, description });
-                    self.side_answered(controller, id, description);
+                    self.call_answered(controller, id, description);
                 }
                 kind::RELEASE => {
-                    let pause = pause.map(|ms: u64| ms * MS);
+                    let retry_after = retry_after_ms.map(|ms: u64| ms * MS);
                     self.auditor.observe(
                         self.now,
-                        Observation::ReleaseToCaller { controller, id, cause, retry_after: pause },
+                        Observation::ReleaseToCaller { controller, id, cause, retry_after },
                     );
-                    self.side_released(controller, id, cause, pause);
+                    self.call_released(controller, id, cause, retry_after);
                 }
                 _ => {}
             }
         }
     }
 
-    fn side_answered(&mut self, controller: usize, id: u64, description: &[u8]) {
-        let Some(side) = self.callers.sides.get_mut(&(controller, id)).filter(|s| !s.stands) else { return };
-        side.stands = true;
-        let took = self.now - side.sent;
-        if matches!(side.owner, Owner::Caller(_)) {
-            self.statistics.record_set_up_time(took);
+    fn call_answered(&mut self, controller: usize, id: u64, description: &[u8]) {
+        let Some(call) = self.callers.offered_calls.get_mut(&(controller, id)).filter(|s| !s.stands) else {
+            return;
+        };
+        call.stands = true;
+        let set_up_time = self.now - call.sent_at;
+        if matches!(call.owner, CallOwner::Caller(_)) {
+            self.statistics.record_set_up_time(set_up_time);
         }
-        match side.owner {
-            Owner::Transit(leg) => self.child_answered(leg, description),
-            Owner::Caller(intent) => {
-                if let Some(i) = self.intents.get_mut(&intent) {
-                    i.stood = Some(self.now);
-                    let hold = i.hold;
-                    self.later(hold, Due::HoldEnds(intent));
+        match call.owner {
+            CallOwner::Transit(leg_id) => self.child_answered(leg_id, description),
+            CallOwner::Caller(intent_id) => {
+                if let Some(intent) = self.intents.get_mut(&intent_id) {
+                    intent.stands_since = Some(self.now);
+                    let hold = intent.hold_time;
+                    self.schedule_in(hold, Event::HoldTimeEnds(intent_id));
                 }
             }
         }
     }
 
-    fn side_released(&mut self, controller: usize, id: u64, cause: u8, pause: Option<Nanos>) {
-        let Some(side) = self.callers.sides.remove(&(controller, id)) else { return };
-        match (side.owner, side.stands) {
-            (Owner::Transit(leg), false) => self.child_refused(leg),
-            (Owner::Transit(_), true) => {}
-            (Owner::Caller(intent), true) => self.call_cut(intent),
-            (Owner::Caller(intent), false) => {
-                let refused = REFUSED.contains(&cause);
-                self.try_ended(
-                    intent,
+    fn call_released(&mut self, controller: usize, id: u64, cause: u8, retry_after: Option<Nanos>) {
+        let Some(call) = self.callers.offered_calls.remove(&(controller, id)) else { return };
+        match (call.owner, call.stands) {
+            (CallOwner::Transit(leg_id), false) => self.child_refused(leg_id),
+            (CallOwner::Transit(_), true) => {}
+            (CallOwner::Caller(intent_id), true) => self.handle_cut_call(intent_id),
+            (CallOwner::Caller(intent_id), false) => {
+                let refused = REFUSAL_CAUSES.contains(&cause);
+                self.handle_failed_try(
+                    intent_id,
                     if refused { CallOutcome::Refused } else { CallOutcome::Failed },
-                    pause,
+                    retry_after,
                 );
             }
         }
     }
 
-    pub(super) fn caller_gives_up(&mut self, intent: u64, tries: u32) {
-        let Some(i) = self.intents.get(&intent).filter(|i| i.tries == tries && i.stood.is_none()) else {
+    pub(super) fn caller_times_out(&mut self, intent_id: u64, tries: u32) {
+        let Some(intent) = self
+            .intents
+            .get(&intent_id)
+            .filter(|intent| intent.tries == tries && intent.stands_since.is_none())
+        else {
             return;
         };
-        let (controller, id) = (i.origin, i.id);
-        let Some(side) = self.callers.sides.remove(&(controller, id)) else { return };
+        let (controller, id) = (intent.origin, intent.call_id);
+        let Some(call) = self.callers.offered_calls.remove(&(controller, id)) else { return };
         self.auditor.observe(self.now, Observation::CallerGaveUp { controller, id });
-        self.release_to(controller, side.wire, id);
-        self.try_ended(intent, CallOutcome::Failed, None);
+        self.send_caller_release(controller, call.connection_id, id);
+        self.handle_failed_try(intent_id, CallOutcome::Failed, None);
     }
 
-    /// Tells a controller that a call is given up or over.
-    fn release_to(&mut self, controller: usize, wire: WireId, id: u64) {
-        let wire = if self.wires.contains_key(&wire) { wire } else { self.caller_wire(controller, id) };
+    /// Sends a release to a controller, for a call that was given up or has ended.
+    fn send_caller_release(&mut self, controller: usize, connection_id: SimConnectionId, id: u64) {
+        let connection_id = if self.connections.contains_key(&connection_id) {
+            connection_id
+        } else {
+            self.pool_connection(controller, id)
+        };
         let mut message = Vec::new();
         binary::write(&mut message, kind::RELEASE, id, &[(param::CAUSE, &[16])]);
-        self.send(wire, &message);
+        self.send(connection_id, &message);
     }
 
-    /// A call in transit is given up by the node that handed it over, or is over.
+    /// Releases a call in transit that was cancelled or released by the previous node.
     pub(super) fn release_transit(&mut self, controller: usize, id: u64) {
-        if let Some(side) = self.callers.sides.remove(&(controller, id)) {
-            if !side.stands {
+        if let Some(call) = self.callers.offered_calls.remove(&(controller, id)) {
+            if !call.stands {
                 self.auditor.observe(self.now, Observation::CallerGaveUp { controller, id });
             }
-            self.release_to(controller, side.wire, id);
+            self.send_caller_release(controller, call.connection_id, id);
         }
     }
 
-    /// A try came to nothing: the caller dials again, or gives it up for good.
-    fn try_ended(&mut self, intent: u64, how: CallOutcome, advice: Option<Nanos>) {
-        let Some(i) = self.intents.get_mut(&intent) else { return };
-        i.last = how;
-        let heeds = i.heeds && self.callers.ignoring == 0;
-        let own = seconds_to_nanos(self.script.callers.pause.0);
-        let pause = advice.filter(|_| heeds).unwrap_or(own);
-        let gives_up = i.first + seconds_to_nanos(self.script.classes[i.class].deadline.0);
-        if i.tries <= self.script.callers.redials && self.now + pause < gives_up {
+    /// Handles a failed try: the caller redials, or gives the call up.
+    fn handle_failed_try(&mut self, intent_id: u64, outcome: CallOutcome, retry_after: Option<Nanos>) {
+        let Some(intent) = self.intents.get_mut(&intent_id) else { return };
+        intent.last_outcome = outcome;
+        let follows_advice = intent.follows_retry_advice && self.callers.ignore_advice_events == 0;
+        let default_pause = seconds_to_nanos(self.script.callers.pause.0);
+        let pause = retry_after.filter(|_| follows_advice).unwrap_or(default_pause);
+        let gives_up_at =
+            intent.first_try_at + seconds_to_nanos(self.script.classes[intent.class].deadline.0);
+        if intent.tries <= self.script.callers.redials && self.now + pause < gives_up_at {
             self.statistics.record_redial();
-            self.later(pause, Due::Redial(intent));
+            self.schedule_in(pause, Event::Redial(intent_id));
         } else {
-            self.finish(intent, how);
+            self.record_outcome(intent_id, outcome);
         }
     }
 
-    /// A call that stood was cut.
-    pub(super) fn call_cut(&mut self, intent: u64) {
-        let Some(i) = self.intents.get_mut(&intent) else { return };
-        self.callers.sides.remove(&(i.origin, i.id));
-        if i.again && !i.cut_before {
-            (i.cut_before, i.stood, i.tries, i.first) = (true, None, 0, self.now);
+    /// Handles the cut of a standing call.
+    pub(super) fn handle_cut_call(&mut self, intent_id: u64) {
+        let Some(intent) = self.intents.get_mut(&intent_id) else { return };
+        self.callers.offered_calls.remove(&(intent.origin, intent.call_id));
+        if intent.redials_after_cut && !intent.was_cut {
+            (intent.was_cut, intent.stands_since, intent.tries, intent.first_try_at) =
+                (true, None, 0, self.now);
             let pause = seconds_to_nanos(self.script.callers.pause.0);
-            return self.later(pause, Due::Redial(intent));
+            return self.schedule_in(pause, Event::Redial(intent_id));
         }
-        self.finish(intent, CallOutcome::Cut);
+        self.record_outcome(intent_id, CallOutcome::Cut);
     }
 
-    /// What became of a caller's call is known.
-    fn finish(&mut self, intent: u64, how: CallOutcome) {
-        if let Some(i) = self.intents.remove(&intent) {
-            let class = &self.script.classes[i.class];
-            let took = i.stood.map(|at| (at - i.first) as f64 * 1e-9);
-            let worth = match (how, took) {
+    /// Removes a call intent and records its final outcome.
+    fn record_outcome(&mut self, intent_id: u64, outcome: CallOutcome) {
+        if let Some(intent) = self.intents.remove(&intent_id) {
+            let class = &self.script.classes[intent.class];
+            let set_up_seconds = intent.stands_since.map(|at| (at - intent.first_try_at) as f64 * 1e-9);
+            let worth = match (outcome, set_up_seconds) {
                 (CallOutcome::Stood, Some(t)) if t <= class.aim.0 => class.worth.0,
                 (CallOutcome::Stood, Some(t)) if t <= class.deadline.0 => class.worth.0 * class.late_worth.0,
                 _ => 0.0,
             };
-            if how != CallOutcome::Stood {
-                let at = (i.first - self.base) as f64 * 1e-9;
+            if outcome != CallOutcome::Stood {
+                let at = (intent.first_try_at - self.start_time) as f64 * 1e-9;
                 self.statistics.record_lost_call(|| LostCall {
-                    call: format!("{:016x}", i.id),
-                    controller: format!("n{}", i.origin),
+                    call: format!("{:016x}", intent.call_id),
+                    controller: format!("n{}", intent.origin),
                     class: class.name.clone(),
                     at: (at * 1e4).round() / 1e4,
-                    how: format!("{how:?}").to_lowercase(),
+                    how: format!("{outcome:?}").to_lowercase(),
                 });
             }
-            let late = how == CallOutcome::Stood && took.is_some_and(|t| t > class.aim.0);
-            let how = if late { CallOutcome::Late } else { how };
-            self.statistics.record_outcome(i.class, (i.first - self.base) as f64 * 1e-9, how, worth);
+            let late = outcome == CallOutcome::Stood && set_up_seconds.is_some_and(|t| t > class.aim.0);
+            let outcome = if late { CallOutcome::Late } else { outcome };
+            self.statistics.record_outcome(
+                intent.class,
+                (intent.first_try_at - self.start_time) as f64 * 1e-9,
+                outcome,
+                worth,
+            );
         }
     }
 
-    /// A call comes to its natural end.
-    pub(super) fn hold_ends(&mut self, intent: u64) {
-        let Some(i) = self.intents.get(&intent).filter(|i| i.stood.is_some()) else { return };
-        let (origin, id) = (i.origin, i.id);
-        if let Some(leg) = self.leg_of.get(&(origin, id)).copied() {
-            self.release_chain(leg, 16);
+    /// Ends a standing call after its hold time.
+    pub(super) fn end_call(&mut self, intent_id: u64) {
+        let Some(intent) = self.intents.get(&intent_id).filter(|intent| intent.stands_since.is_some()) else {
+            return;
+        };
+        let (origin, id) = (intent.origin, intent.call_id);
+        if let Some(leg_id) = self.latest_leg.get(&(origin, id)).copied() {
+            self.release_chain(leg_id, 16);
         }
-        // The caller does not know yet: it keeps a way to be told.
-        self.finish(intent, CallOutcome::Stood);
+        // The offered call stays, because its controller has yet to send the release.
+        self.record_outcome(intent_id, CallOutcome::Stood);
     }
 
-    /// Ends the books: what is still open has come to nothing, what stands has stood.
-    pub fn close_books(&mut self) {
+    /// Records the outcome of all remaining calls at the end of the run: standing calls count as completed, others
+    /// with the result of their last try.
+    pub fn finalize(&mut self) {
         for id in self.intents.keys().copied().collect::<Vec<_>>() {
-            let how = self.intents[&id].stood.map_or(self.intents[&id].last, |_| CallOutcome::Stood);
-            self.finish(id, how);
+            let outcome =
+                self.intents[&id].stands_since.map_or(self.intents[&id].last_outcome, |_| CallOutcome::Stood);
+            self.record_outcome(id, outcome);
         }
         self.auditor.finish(self.now);
     }
 
-    /// A connection of callers is gone: what was open on it has no answer.
-    pub(super) fn callers_wire_gone(&mut self, controller: usize, wire: WireId, up: bool) {
-        self.later(RECONNECT, Due::Reconnect(controller));
-        self.starts[controller].missed |= !up;
-        let on = |s: &Side| s.wire == wire && !s.stands;
-        let within = (controller, 0)..=(controller, u64::MAX);
-        let open: Vec<u64> =
-            self.callers.sides.range(within).filter(|(_, s)| on(s)).map(|((_, id), _)| *id).collect();
+    /// Handles the end of a callers' connection: set-ups without an answer are sent again or fail.
+    pub(super) fn caller_connection_closed(
+        &mut self,
+        controller: usize,
+        connection_id: SimConnectionId,
+        established: bool,
+    ) {
+        self.schedule_in(RECONNECT_DELAY, Event::Reconnect(controller));
+        self.controller_starts[controller].connect_failed |= !established;
+        let unanswered = |s: &OfferedCall| s.connection_id == connection_id && !s.stands;
+        let call_range = (controller, 0)..=(controller, u64::MAX);
+        let open: Vec<u64> = self
+            .callers
+            .offered_calls
+            .range(call_range)
+            .filter(|(_, s)| unanswered(s))
+            .map(|((_, id), _)| *id)
+            .collect();
         for id in open {
-            let Some(mut side) = self.callers.sides.remove(&(controller, id)) else { continue };
-            let crossed = !side.resent && self.now < side.sent + CROSSED;
-            if crossed && self.running[controller] && self.fronted[controller] {
-                side.resent = true;
-                let (message, wire) = (side.message.clone(), self.caller_wire(controller, id));
-                side.wire = wire;
-                self.callers.sides.insert((controller, id), side);
-                self.send(wire, &message);
+            let Some(mut call) = self.callers.offered_calls.remove(&(controller, id)) else { continue };
+            let crossed = !call.resent && self.now < call.sent_at + RESEND_WINDOW;
+            if crossed && self.running[controller] && self.in_rotation[controller] {
+                call.resent = true;
+                let (message, connection_id) = (call.message.clone(), self.pool_connection(controller, id));
+                call.connection_id = connection_id;
+                self.callers.offered_calls.insert((controller, id), call);
+                self.send(connection_id, &message);
                 continue;
             }
-            // What crossed the close goes to another controller, and what never came up was never taken.
-            let ends = self.terminated[controller].is_some() || !self.running[controller];
-            if !up || ends && crossed {
+            // A set-up that crossed the close of a controller shutting down goes to another controller, and one on a
+            // connection that was never established was never taken: this controller lost neither.
+            let shutting_down = self.terminated_at[controller].is_some() || !self.running[controller];
+            if !established || shutting_down && crossed {
                 self.auditor.observe(self.now, Observation::CallerGaveUp { controller, id });
             } else {
                 self.auditor.observe(self.now, Observation::CallerDisconnected { controller, id });
             }
-            match side.owner {
-                Owner::Transit(leg) => self.child_broke(leg),
-                Owner::Caller(intent) => self.try_ended(intent, CallOutcome::Failed, None),
+            match call.owner {
+                CallOwner::Transit(leg_id) => self.child_failed(leg_id),
+                CallOwner::Caller(intent_id) => self.handle_failed_try(intent_id, CallOutcome::Failed, None),
             }
         }
     }
 }
 
-/// The description of a call: free bytes that have to pass unchanged.
-pub(super) fn describe(id: u64) -> Vec<u8> {
+/// Builds a session description for a call: arbitrary bytes that controllers have to pass on unchanged.
+pub(super) fn session_description(id: u64) -> Vec<u8> {
     let mut text =
         format!("{:016x}\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n", !id).into_bytes();
     text.extend(id.to_be_bytes());
--- a/rehearsal/src/world/controllers.rs
+++ b/rehearsal/src/world/controllers.rs
@@ -1,97 +1,101 @@
-//! The lives of controllers: started, told to end, killed, and started again.
+//! Lifecycle of the controllers: start, shutdown, kill and restart.
 
 use pitchgw::interface::Nanos;
 
-use super::{seconds_to_nanos, Act, Due, Signal, Start, WireId, World, MS, RECONNECT, SEC};
+use super::{
+    seconds_to_nanos, Action, ControllerStart, Event, Signal, SimConnectionId, World, MS, RECONNECT_DELAY,
+    SEC,
+};
 use crate::audit::Observation;
 
-/// After a controller was told to end callers open new connections to it for so long. On open ones they go on.
-const FRONT_NOTICES: Nanos = 300 * MS;
-/// The longest deadline is counted as this where it is longer.
-const LONGEST_DEADLINE: Nanos = 3 * SEC;
-/// SIGKILL follows SIGTERM after the longest deadline and this.
-const KILL_AFTER_DEADLINE: Nanos = 700 * MS;
-/// A controller has to be ready within this time after its start.
-const READY_WITHIN: Nanos = 10 * SEC;
+/// Time after SIGTERM during which callers still open new connections to a controller. Open connections are used
+/// beyond it.
+const ROTATION_REMOVAL_DELAY: Nanos = 300 * MS;
+/// Longer deadlines count as this one for the time from SIGTERM to SIGKILL.
+const MAX_COUNTED_DEADLINE: Nanos = 3 * SEC;
+/// SIGKILL follows SIGTERM after the longest deadline plus this time.
+const KILL_DELAY_AFTER_DEADLINE: Nanos = 700 * MS;
+/// Time after its start within which a controller has to accept connections.
+const READY_TIMEOUT: Nanos = 10 * SEC;
 
 impl World {
     pub(super) fn start_controller(&mut self, controller: usize) {
         self.running[controller] = true;
-        self.fronted[controller] = true;
-        self.terminated[controller] = None;
-        self.starts[controller] = Start { at: self.now, reached: false, missed: false };
-        self.services[controller].restart();
+        self.in_rotation[controller] = true;
+        self.terminated_at[controller] = None;
+        self.controller_starts[controller] =
+            ControllerStart { at: self.now, connected: false, connect_failed: false };
+        self.journal_services[controller].restart();
         let config = self.configuration(controller);
-        self.later(RECONNECT, Due::Reconnect(controller));
-        self.later(READY_WITHIN, Due::Ready(controller, self.now));
-        self.acts.push_back(Act::Start(controller, config));
+        self.schedule_in(RECONNECT_DELAY, Event::Reconnect(controller));
+        self.schedule_in(READY_TIMEOUT, Event::ReadyDeadline(controller, self.now));
+        self.actions.push_back(Action::StartController(controller, config));
     }
 
-    /// A controller must be ready by now, if anybody wanted to connect to it.
-    pub(super) fn ready_due(&mut self, controller: usize, started: Nanos) {
-        let start = self.starts[controller];
-        if start.at == started && start.missed && !start.reached {
+    /// Reports a controller that has not become ready in time, if any caller tried to connect to it.
+    pub(super) fn check_ready(&mut self, controller: usize, started_at: Nanos) {
+        let start = self.controller_starts[controller];
+        if start.at == started_at && start.connect_failed && !start.connected {
             self.auditor.observe(self.now, Observation::ControllerNotReady { controller });
         }
     }
 
-    /// A controller gets SIGTERM: the front notices soon, and SIGKILL comes as early as it may.
+    /// Sends SIGTERM to a controller. Callers stop opening new connections to it after a delay.
     pub(super) fn terminate(&mut self, controller: usize) {
-        if !self.running[controller] || self.terminated[controller].is_some() {
+        if !self.running[controller] || self.terminated_at[controller].is_some() {
             return;
         }
-        self.terminated[controller] = Some(self.now);
-        self.acts.push_back(Act::Signal(controller, Signal::Terminate));
-        self.later(FRONT_NOTICES, Due::Front(controller));
+        self.terminated_at[controller] = Some(self.now);
+        self.actions.push_back(Action::SignalController(controller, Signal::Terminate));
+        self.schedule_in(ROTATION_REMOVAL_DELAY, Event::LeaveRotation(controller));
     }
 
-    /// The time from SIGTERM to SIGKILL.
+    /// Returns the time from SIGTERM to SIGKILL, the shortest that is allowed.
     pub(super) fn kill_after(&self) -> Nanos {
         let longest = self.script.classes.iter().map(|c| seconds_to_nanos(c.deadline.0)).max().unwrap_or(0);
-        longest.min(LONGEST_DEADLINE) + KILL_AFTER_DEADLINE
+        longest.min(MAX_COUNTED_DEADLINE) + KILL_DELAY_AFTER_DEADLINE
     }
 
-    /// SIGKILL for a controller that was told to end and still runs.
-    pub(super) fn kill_terminated(&mut self, controller: usize) {
-        let due = |at: Nanos| self.now >= at + self.kill_after();
-        if self.running[controller] && self.terminated[controller].is_some_and(due) {
+    /// Kills and restarts a terminating controller that is still running after the allowed time.
+    pub(super) fn kill_terminating(&mut self, controller: usize) {
+        let is_due = |at: Nanos| self.now >= at + self.kill_after();
+        if self.running[controller] && self.terminated_at[controller].is_some_and(is_due) {
             self.kill(controller);
             self.start_controller(controller);
         }
     }
 
-    /// A controller is killed.
+    /// Kills a controller with SIGKILL.
     pub(super) fn kill(&mut self, controller: usize) {
         self.running[controller] = false;
-        self.fronted[controller] = false;
-        self.acts.push_back(Act::Kill(controller));
-        let terminated = self.terminated[controller];
-        self.auditor
-            .observe(self.now, Observation::ControllerKilled { controller, terminated_at: terminated });
-        self.hang_up_all(controller);
+        self.in_rotation[controller] = false;
+        self.actions.push_back(Action::KillController(controller));
+        let terminated_at = self.terminated_at[controller];
+        self.auditor.observe(self.now, Observation::ControllerKilled { controller, terminated_at });
+        self.close_all_connections(controller);
     }
 
-    /// A controller that was told to end has ended. What it had taken and not answered is lost.
-    pub fn stopped(&mut self, now: Nanos, controller: usize) {
+    /// Handles the exit of a terminating controller, and restarts it. Calls that it had taken and not answered are lost.
+    pub fn controller_stopped(&mut self, now: Nanos, controller: usize) {
         self.advance(now);
         self.running[controller] = false;
-        self.hang_up_all(controller);
+        self.close_all_connections(controller);
         self.auditor.observe(self.now, Observation::ControllerExited { controller });
         self.start_controller(controller);
     }
 
-    /// A controller has ended of its own accord.
-    pub fn crashed(&mut self, now: Nanos, controller: usize, how: &str) {
+    /// Handles the unexpected exit of a controller, and restarts it.
+    pub fn controller_crashed(&mut self, now: Nanos, controller: usize, exit_status: &str) {
         self.advance(now);
-        self.auditor.observe(self.now, Observation::ControllerCrashed { controller, exit_status: how });
+        self.auditor.observe(self.now, Observation::ControllerCrashed { controller, exit_status });
         self.running[controller] = false;
         self.auditor.observe(self.now, Observation::ControllerKilled { controller, terminated_at: None });
-        self.hang_up_all(controller);
+        self.close_all_connections(controller);
         self.start_controller(controller);
     }
 
-    /// What a controller takes of the machine, as it was just read.
-    pub fn uses(&mut self, now: Nanos, controller: usize, memory_mb: u64, descriptors: u64) {
+    /// Checks the current memory and descriptor usage of a controller against its limits.
+    pub fn report_resource_usage(&mut self, now: Nanos, controller: usize, memory_mb: u64, descriptors: u64) {
         self.advance(now);
         let limits = &self.script.controllers;
         if memory_mb > u64::from(limits.memory_mb) || descriptors > u64::from(limits.sockets) {
@@ -100,9 +104,10 @@
         }
     }
 
-    fn hang_up_all(&mut self, controller: usize) {
-        let wires: Vec<_> = self.wires.iter().filter(|(_, w)| w.controller == controller).collect();
-        let wires: Vec<WireId> = wires.into_iter().map(|(id, _)| *id).collect();
-        wires.into_iter().for_each(|wire| self.wire_gone(wire));
+    fn close_all_connections(&mut self, controller: usize) {
+        let connections: Vec<_> =
+            self.connections.iter().filter(|(_, connection)| connection.controller == controller).collect();
+        let connections: Vec<SimConnectionId> = connections.into_iter().map(|(id, _)| *id).collect();
+        connections.into_iter().for_each(|connection_id| self.remove_connection(connection_id));
     }
 }
--- a/rehearsal/src/world/incidents.rs
+++ b/rehearsal/src/world/incidents.rs
@@ -1,5 +1,7 @@
-//! Carries out the events of a script. Each leaves its mark where it strikes and takes it away at its end, so
-//! that events may overlap in any order: factors multiply, and what stops something stops it until its own end.
+//! Fault injection: runs the events of a script.
+//!
+//! Each event adds its effect to the state of the nodes it affects and removes it at its end, so that events may
+//! overlap in any order: factors multiply, and a node that several events stop runs only after the last has ended.
 
 use std::collections::BTreeSet;
 
@@ -8,28 +10,28 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::nodes::Machine;
-use super::{seconds_to_nanos, Act, Due, Reach, Signal, World, MS};
+use super::{seconds_to_nanos, Action, ConnectOutcome, Event, Signal, World, MS};
 use crate::script::{EventKind, Script, ScriptEvent, DEFAULT_DOWN_SECONDS, DEFAULT_DRAIN_SECONDS};
 
-/// Further signals come so long after SIGTERM, by turns SIGTERM, SIGINT and SIGHUP.
-const MORE_SIGNALS: [(Nanos, Signal); 3] =
+/// Further signals sent to a terminating controller, with their time after the first SIGTERM.
+const REPEATED_SIGNALS: [(Nanos, Signal); 3] =
     [(100 * MS, Signal::Terminate), (650 * MS, Signal::Reload), (900 * MS, Signal::Interrupt)];
 
-/// A moment in the course of an event.
+/// Phase of a script event at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     Begin,
-    /// What was announced comes to pass.
+    /// The announced stop takes place.
     Stop,
     /// What was stopped starts again.
     Start,
-    /// A pause is over.
-    Move,
+    /// A pause is over, or a repeated signal is due.
+    Continue,
     End,
 }
 
-/// The nodes that each event strikes.
-pub(super) fn struck(script: &Script, mut rng: ChaCha8Rng) -> Vec<Vec<usize>> {
+/// Returns the nodes affected by each script event, in the order of the events.
+pub(super) fn draw_affected_nodes(script: &Script, mut rng: ChaCha8Rng) -> Vec<Vec<usize>> {
     let all: Vec<usize> = (0..script.nodes as usize).collect();
     let mut draw = |event: &ScriptEvent| -> Vec<usize> {
         if let Some(names) = &event.nodes {
@@ -51,116 +53,131 @@
 
 impl World {
     pub(super) fn schedule_events(&mut self) {
-        for (number, event) in self.script.events.clone().into_iter().enumerate() {
-            let at = self.base + seconds_to_nanos(event.at.0);
-            if at >= self.offers_until {
-                continue; // the short form ends before
+        for (event_index, event) in self.script.events.clone().into_iter().enumerate() {
+            let at = self.start_time + seconds_to_nanos(event.at.0);
+            if at >= self.arrivals_end {
+                continue; // after the end of the short form
             }
             let stagger = seconds_to_nanos(event.stagger.map_or(0.0, |s| s.0));
             let nodes = match event.kind {
                 EventKind::LoseCircuits | EventKind::IgnoreAdvice => vec![0],
-                _ => self.struck[number].clone(),
+                _ => self.affected_nodes[event_index].clone(),
             };
             for (i, node) in nodes.into_iter().enumerate() {
-                self.at(at + stagger * i as Nanos, Due::Event(number, node, Phase::Begin));
+                self.schedule_at(
+                    at + stagger * i as Nanos,
+                    Event::ScriptEventPhase(event_index, node, Phase::Begin),
+                );
                 if let Some(lasts) = event.lasts {
-                    self.at(at + seconds_to_nanos(lasts.0), Due::Event(number, node, Phase::End));
+                    self.schedule_at(
+                        at + seconds_to_nanos(lasts.0),
+                        Event::ScriptEventPhase(event_index, node, Phase::End),
+                    );
                 }
             }
         }
     }
 
-    pub(super) fn event(&mut self, number: usize, node: usize, phase: Phase) {
-        let event = self.script.events[number].clone();
-        let span = |s: Option<crate::script::Seconds>, usual| seconds_to_nanos(s.map_or(usual, |s| s.0));
+    pub(super) fn run_script_event(&mut self, event_index: usize, node: usize, phase: Phase) {
+        let event = self.script.events[event_index].clone();
+        let nanos_or_default =
+            |s: Option<crate::script::Seconds>, default| seconds_to_nanos(s.map_or(default, |s| s.0));
         match (event.kind, phase) {
             (EventKind::RestartCold, Phase::Begin) => {
-                if self.nodes[node].alive {
-                    self.stop_node(node, Reach::Refused);
-                    self.later(
-                        span(event.down, DEFAULT_DOWN_SECONDS),
-                        Due::Event(number, node, Phase::Start),
+                if self.processors[node].alive {
+                    self.stop_node(node, ConnectOutcome::Refused);
+                    self.schedule_in(
+                        nanos_or_default(event.down, DEFAULT_DOWN_SECONDS),
+                        Event::ScriptEventPhase(event_index, node, Phase::Start),
                     );
                 }
             }
             (EventKind::RestartCold, _) => {
-                let machine = self.serving[node];
+                let machine = self.machine_of_node[node];
                 self.start_node(node, machine);
             }
-            // What does not run has nothing to drain.
-            (EventKind::Replace | EventKind::Drain, Phase::Begin) if !self.nodes[node].alive => {}
+            // A stopped node has nothing to drain.
+            (EventKind::Replace | EventKind::Drain, Phase::Begin) if !self.processors[node].alive => {}
             (EventKind::Replace | EventKind::Drain, Phase::Begin) => {
-                let (machine, late) = (self.serving[node], self.script.journal.notice);
-                self.tell_journals(machine, "DRAINING", late);
-                self.later(span(event.drain, DEFAULT_DRAIN_SECONDS), Due::Event(number, node, Phase::Stop));
+                let (machine, delay_range) = (self.machine_of_node[node], self.script.journal.notice);
+                self.publish_machine_state(machine, "DRAINING", delay_range);
+                self.schedule_in(
+                    nanos_or_default(event.drain, DEFAULT_DRAIN_SECONDS),
+                    Event::ScriptEventPhase(event_index, node, Phase::Stop),
+                );
             }
             (EventKind::Replace | EventKind::Drain, Phase::Stop) => {
-                let (machine, late) = (self.serving[node], self.script.journal.notice);
-                self.stop_node(node, Reach::Refused);
-                self.tell_journals(machine, "DELETED", late);
+                let (machine, delay_range) = (self.machine_of_node[node], self.script.journal.notice);
+                self.stop_node(node, ConnectOutcome::Refused);
+                self.publish_machine_state(machine, "DELETED", delay_range);
                 if event.kind == EventKind::Replace {
-                    self.later(
-                        span(event.down, DEFAULT_DOWN_SECONDS),
-                        Due::Event(number, node, Phase::Start),
+                    self.schedule_in(
+                        nanos_or_default(event.down, DEFAULT_DOWN_SECONDS),
+                        Event::ScriptEventPhase(event_index, node, Phase::Start),
                     );
                 }
             }
-            (EventKind::Drain | EventKind::Vanish, Phase::End) => self.new_machine(node, false),
+            (EventKind::Drain | EventKind::Vanish, Phase::End) => self.replace_machine(node, false),
             (EventKind::Replace | EventKind::Drain, _) => {
-                self.new_machine(node, event.same_address == Some(true))
+                self.replace_machine(node, event.same_address == Some(true))
             }
             (EventKind::Vanish, _) => {
-                if self.nodes[node].alive {
-                    let (machine, late) = (self.serving[node], self.script.journal.silent);
-                    self.stop_node(node, Reach::Never);
-                    self.tell_journals(machine, "DELETED", late);
+                if self.processors[node].alive {
+                    let (machine, delay_range) = (self.machine_of_node[node], self.script.journal.silent);
+                    self.stop_node(node, ConnectOutcome::TimesOut);
+                    self.publish_machine_state(machine, "DELETED", delay_range);
                 }
             }
             (EventKind::Hang, _) => {
-                self.book_work(node);
-                let hung = &mut self.nodes[node].hung;
-                *hung = if phase == Phase::Begin { *hung + 1 } else { hung.saturating_sub(1) };
-                self.work_on(node);
+                self.suspend_current_job(node);
+                let hang_events = &mut self.processors[node].hang_events;
+                *hang_events =
+                    if phase == Phase::Begin { *hang_events + 1 } else { hang_events.saturating_sub(1) };
+                self.start_next_job(node);
             }
-            (EventKind::Pauses, _) => self.pauses(number, node, phase, &event),
+            (EventKind::Pauses, _) => self.run_pauses(event_index, node, phase, &event),
             (EventKind::Slow, _) => {
-                self.book_work(node);
+                self.suspend_current_job(node);
                 match (phase, event.factor) {
-                    (Phase::Begin, Some(factor)) => self.nodes[node].slow.insert(number, factor.0),
-                    _ => self.nodes[node].slow.remove(&number),
+                    (Phase::Begin, Some(factor)) => {
+                        self.processors[node].slowdowns.insert(event_index, factor.0)
+                    }
+                    _ => self.processors[node].slowdowns.remove(&event_index),
                 };
-                self.work_on(node);
+                self.start_next_job(node);
             }
-            (EventKind::LoseCircuits, _) => self.circuits(),
+            (EventKind::LoseCircuits, _) => self.apply_circuit_losses(),
             (EventKind::SilentConnections, _) => {
-                for wire in self.wires_to(node) {
-                    if let Some(w) = self.wires.get_mut(&wire) {
-                        w.mute = true;
+                for connection_id in self.connections_to(node) {
+                    if let Some(connection) = self.connections.get_mut(&connection_id) {
+                        connection.silenced = true;
                     }
                 }
             }
             (EventKind::ResetConnections, _) => {
-                self.wires_to(node).into_iter().for_each(|wire| self.hang_up(wire));
+                self.connections_to(node)
+                    .into_iter()
+                    .for_each(|connection_id| self.close_connection(connection_id));
             }
             (EventKind::JournalBroken, Phase::Begin) => {
-                self.services[node].broken += 1;
-                self.journal_breaks(node);
+                self.journal_services[node].broken_events += 1;
+                self.close_journal_connections(node);
             }
             (EventKind::JournalBroken, _) => {
-                self.services[node].broken -= 1;
-                self.journal_back(node);
+                self.journal_services[node].broken_events -= 1;
+                self.resume_journal(node);
             }
-            (EventKind::JournalSilent, Phase::Begin) => self.services[node].silent += 1,
+            (EventKind::JournalSilent, Phase::Begin) => self.journal_services[node].silent_events += 1,
             (EventKind::JournalSilent, _) => {
-                self.services[node].silent -= 1;
-                self.journal_back(node);
+                self.journal_services[node].silent_events -= 1;
+                self.resume_journal(node);
             }
             (EventKind::ControllerKilled, Phase::Begin) => {
                 if self.running[node] {
                     self.kill(node);
-                    self.later(
-                        span(event.down, DEFAULT_DOWN_SECONDS),
-                        Due::Event(number, node, Phase::Start),
+                    self.schedule_in(
+                        nanos_or_default(event.down, DEFAULT_DOWN_SECONDS),
+                        Event::ScriptEventPhase(event_index, node, Phase::Start),
                     );
                 }
             }
@@ -168,159 +185,180 @@
             (EventKind::ControllerKilled, _) => self.start_controller(node),
             (EventKind::ControllerRestarted, Phase::Begin) => {
                 self.terminate(node);
-                for (after, _) in MORE_SIGNALS {
-                    self.later(after, Due::Event(number, node, Phase::Move));
+                for (after, _) in REPEATED_SIGNALS {
+                    self.schedule_in(after, Event::ScriptEventPhase(event_index, node, Phase::Continue));
                 }
-                self.later(self.kill_after(), Due::Event(number, node, Phase::Stop));
+                self.schedule_in(self.kill_after(), Event::ScriptEventPhase(event_index, node, Phase::Stop));
             }
-            (EventKind::ControllerRestarted, Phase::Move) => self.signal_again(node),
-            (EventKind::ControllerRestarted, _) => self.kill_terminated(node),
+            (EventKind::ControllerRestarted, Phase::Continue) => self.send_repeated_signal(node),
+            (EventKind::ControllerRestarted, _) => self.kill_terminating(node),
             (EventKind::ControllerReloaded, _) => {
                 if self.running[node] {
-                    self.acts.push_back(Act::Signal(node, Signal::Reload));
+                    self.actions.push_back(Action::SignalController(node, Signal::Reload));
                 }
             }
             (EventKind::CutOff, Phase::Begin) => {
-                self.cut_off[node] += 1;
-                self.hold_wires(node);
+                self.active_partitions[node] += 1;
+                self.partition_node(node);
             }
             (EventKind::CutOff, _) => {
-                self.cut_off[node] -= 1;
-                self.release_wires(node);
+                self.active_partitions[node] -= 1;
+                self.heal_partition(node);
             }
-            (EventKind::NoNewConnections, Phase::Begin) => self.unreachable[node] += 1,
-            (EventKind::NoNewConnections, _) => self.unreachable[node] -= 1,
+            (EventKind::NoNewConnections, Phase::Begin) => self.active_connect_blocks[node] += 1,
+            (EventKind::NoNewConnections, _) => self.active_connect_blocks[node] -= 1,
             (EventKind::JournalSlow, Phase::Begin) => {
-                let takes = event.length.map_or(0.0, |length| length.0);
-                self.services[node].slow.insert(number, takes);
+                let answer_seconds = event.length.map_or(0.0, |length| length.0);
+                self.journal_services[node].slow_events.insert(event_index, answer_seconds);
             }
             (EventKind::JournalSlow, _) => {
-                self.services[node].slow.remove(&number);
+                self.journal_services[node].slow_events.remove(&event_index);
             }
-            (EventKind::SpoiltAnswers, Phase::Begin) => self.spoils[node] += 1,
-            (EventKind::SpoiltAnswers, _) => self.spoils[node] -= 1,
-            (EventKind::BadCallers, Phase::Begin) => self.bad_caller(number, node),
+            (EventKind::SpoiltAnswers, Phase::Begin) => self.active_answer_faults[node] += 1,
+            (EventKind::SpoiltAnswers, _) => self.active_answer_faults[node] -= 1,
+            (EventKind::BadCallers, Phase::Begin) => self.connect_bad_caller(event_index, node),
             (EventKind::BadCallers, _) => {}
             (EventKind::Demand, _) => {
-                let demand = &mut self.callers.demand[node];
+                let demand_factors = &mut self.callers.demand_factors[node];
                 match (phase, event.times) {
-                    (Phase::Begin, Some(times)) => demand.insert(number, times.0),
-                    _ => demand.remove(&number),
+                    (Phase::Begin, Some(times)) => demand_factors.insert(event_index, times.0),
+                    _ => demand_factors.remove(&event_index),
                 };
             }
             (EventKind::IgnoreAdvice, _) => {
-                let ignoring = &mut self.callers.ignoring;
-                *ignoring = if phase == Phase::Begin { *ignoring + 1 } else { ignoring.saturating_sub(1) };
+                let ignore_advice_events = &mut self.callers.ignore_advice_events;
+                *ignore_advice_events = if phase == Phase::Begin {
+                    *ignore_advice_events + 1
+                } else {
+                    ignore_advice_events.saturating_sub(1)
+                };
             }
         }
     }
 
-    /// A controller that was told to end gets a further signal.
-    fn signal_again(&mut self, node: usize) {
-        let Some(at) = self.terminated[node].filter(|_| self.running[node]) else { return };
-        let latest = MORE_SIGNALS.iter().rev().find(|(after, _)| self.now >= at + after);
+    /// Sends a further signal to a controller that is terminating.
+    fn send_repeated_signal(&mut self, node: usize) {
+        let Some(at) = self.terminated_at[node].filter(|_| self.running[node]) else { return };
+        let latest = REPEATED_SIGNALS.iter().rev().find(|(after, _)| self.now >= at + after);
         if let Some((_, signal)) = latest {
-            self.acts.push_back(Act::Signal(node, *signal));
+            self.actions.push_back(Action::SignalController(node, *signal));
         }
     }
 
-    /// The network to a node is cut: what passes on open connections waits for the end of the cut.
-    fn hold_wires(&mut self, node: usize) {
-        for wire in self.wires_to(node) {
-            if let Some(w) = self.wires.get_mut(&wire) {
-                w.held.get_or_insert_with(Default::default);
+    /// Starts a network partition: bytes on open connections to the node are held back until it ends.
+    fn partition_node(&mut self, node: usize) {
+        for connection_id in self.connections_to(node) {
+            if let Some(connection) = self.connections.get_mut(&connection_id) {
+                connection.partition_buffer.get_or_insert_with(Default::default);
             }
         }
     }
 
-    /// The cut is over: what waited passes.
-    fn release_wires(&mut self, node: usize) {
-        if self.cut_off[node] > 0 {
+    /// Ends a network partition and delivers the bytes held back, unless another partition is still active.
+    fn heal_partition(&mut self, node: usize) {
+        if self.active_partitions[node] > 0 {
             return;
         }
-        for wire in self.wires_to(node) {
-            let Some(held) = self.wires.get_mut(&wire).and_then(|w| w.held.take()) else { continue };
-            self.received(self.now, wire, &held.from_controller);
-            self.send(wire, &held.to_controller);
+        for connection_id in self.connections_to(node) {
+            let Some(held) = self
+                .connections
+                .get_mut(&connection_id)
+                .and_then(|connection| connection.partition_buffer.take())
+            else {
+                continue;
+            };
+            self.bytes_received(self.now, connection_id, &held.from_controller);
+            self.send(connection_id, &held.to_controller);
         }
-        self.say_what_was_unsaid(self.serving[node]);
+        self.send_unsent_releases(self.machine_of_node[node]);
     }
 
-    fn pauses(&mut self, number: usize, node: usize, phase: Phase, event: &ScriptEvent) {
+    fn run_pauses(&mut self, event_index: usize, node: usize, phase: Phase, event: &ScriptEvent) {
         let Some((every, length)) = event.every.zip(event.length) else { return };
         match phase {
-            Phase::Begin if self.seconds() < event.end_seconds() => {
-                self.book_work(node);
-                self.nodes[node].paused += 1;
-                self.later(seconds_to_nanos(length.0), Due::Event(number, node, Phase::Move));
-                self.later(seconds_to_nanos(every.0), Due::Event(number, node, Phase::Begin));
+            Phase::Begin if self.elapsed_seconds() < event.end_seconds() => {
+                self.suspend_current_job(node);
+                self.processors[node].pause_events += 1;
+                self.schedule_in(
+                    seconds_to_nanos(length.0),
+                    Event::ScriptEventPhase(event_index, node, Phase::Continue),
+                );
+                self.schedule_in(
+                    seconds_to_nanos(every.0),
+                    Event::ScriptEventPhase(event_index, node, Phase::Begin),
+                );
             }
-            Phase::Move => {
-                self.nodes[node].paused = self.nodes[node].paused.saturating_sub(1);
-                self.work_on(node);
+            Phase::Continue => {
+                self.processors[node].pause_events = self.processors[node].pause_events.saturating_sub(1);
+                self.start_next_job(node);
             }
             _ => {}
         }
     }
 
     fn start_node(&mut self, node: usize, machine: usize) {
-        let n = &mut self.nodes[node];
-        if n.alive || n.fallen && self.serving[node] == machine {
-            return; // it runs, or was pushed over and stays down
+        let processor = &mut self.processors[node];
+        if processor.alive || processor.failed_cold && self.machine_of_node[node] == machine {
+            return; // it is running, or was overloaded while cold and stays down
         }
-        (n.alive, n.fallen, n.cold_since) = (true, false, Some(self.now));
-        self.serving[node] = machine;
-        let m = &mut self.machines[machine];
-        (m.reach, m.boot) = (Reach::Up, Some(self.now));
+        (processor.alive, processor.failed_cold, processor.cold_since) = (true, false, Some(self.now));
+        self.machine_of_node[node] = machine;
+        let machine_state = &mut self.machines[machine];
+        (machine_state.connect_outcome, machine_state.started_at) =
+            (ConnectOutcome::Accepted, Some(self.now));
         self.auditor.machine_started(self.now, machine);
-        let late = self.script.journal.start;
-        self.tell_journals(machine, "SERVING", late);
-        self.work_on(node);
+        let delay_range = self.script.journal.start;
+        self.publish_machine_state(machine, "SERVING", delay_range);
+        self.start_next_job(node);
     }
 
-    /// Another machine takes a node's place.
-    fn new_machine(&mut self, node: usize, same_address: bool) {
-        if self.nodes[node].alive {
+    /// Starts a new machine in place of a stopped node.
+    fn replace_machine(&mut self, node: usize, same_address: bool) {
+        if self.processors[node].alive {
             return;
         }
-        let number = self.machines.len();
-        let address_of = if same_address { self.machines[self.serving[node]].address_of } else { number };
-        self.machines.push(Machine::new(number, node, address_of, Some(self.now)));
-        self.start_node(node, number);
+        let machine = self.machines.len();
+        let address_owner =
+            if same_address { self.machines[self.machine_of_node[node]].address_owner } else { machine };
+        self.machines.push(Machine::new(machine, node, address_owner, Some(self.now)));
+        self.start_node(node, machine);
     }
 
-    /// Circuits that are left after all losses that hold now; the shares of several multiply.
-    fn circuits(&mut self) {
-        let now = self.seconds();
-        let holds = |e: &ScriptEvent| {
+    /// Sets the circuits in service according to all active losses, whose shares multiply, and cuts calls on groups
+    /// that have too few circuits left.
+    fn apply_circuit_losses(&mut self) {
+        let now = self.elapsed_seconds();
+        let is_active = |e: &ScriptEvent| {
             e.kind == EventKind::LoseCircuits && e.at.0 <= now && now < e.end_seconds() - 1e-9
         };
-        let losses = self.script.events.iter().zip(&self.struck);
+        let losses = self.script.events.iter().zip(&self.affected_nodes);
         let losses: Vec<(f64, BTreeSet<usize>)> = losses
-            .filter(|(e, _)| holds(e))
+            .filter(|(e, _)| is_active(e))
             .map(|(e, nodes)| (e.kept.map_or(1.0, |k| k.0), nodes.iter().copied().collect()))
             .collect();
-        let nodes = self.nodes.len();
+        let nodes = self.processors.len();
         for a in 0..nodes {
             for b in a + 1..nodes {
-                let hit = |s: &BTreeSet<usize>| s.len() == nodes || s.contains(&a) != s.contains(&b);
-                let share: f64 = losses.iter().filter(|(_, s)| hit(s)).map(|(kept, _)| kept).product();
-                let before = self.network.group(a, b).kept;
-                let over = self.network.keep(a, b, share);
-                if over > 0 {
-                    let mut legs = self.standing_between(a, b);
+                let affects_group =
+                    |s: &BTreeSet<usize>| s.len() == nodes || s.contains(&a) != s.contains(&b);
+                let share: f64 =
+                    losses.iter().filter(|(_, s)| affects_group(s)).map(|(kept, _)| kept).product();
+                let previous = self.network.group(a, b).in_service;
+                let excess_circuits = self.network.set_in_service_share(a, b, share);
+                if excess_circuits > 0 {
+                    let mut legs = self.standing_legs_between(a, b);
                     legs.shuffle(&mut self.rng);
-                    for leg in legs {
+                    for leg_id in legs {
                         let group = self.network.group(a, b);
-                        if group.used <= group.kept {
+                        if group.in_use <= group.in_service {
                             break;
                         }
-                        self.cut(leg);
+                        self.cut_call(leg_id);
                     }
                 }
-                if self.network.group(a, b).kept != before {
-                    self.tell_group(a, b);
-                    self.tell_group(b, a);
+                if self.network.group(a, b).in_service != previous {
+                    self.notify_group(a, b);
+                    self.notify_group(b, a);
                 }
             }
         }
--- a/rehearsal/src/world/mod.rs
+++ b/rehearsal/src/world/mod.rs
@@ -1,6 +1,9 @@
-//! The world round the controllers, in discrete events: callers, trunk groups, results nodes, the node register
-//! and the centre. It knows no socket and no clock but the time it is given, so that the same world is played on
-//! a virtual clock and on the wall's: it is told what came on which wire and says what is to be done with wires.
+//! Discrete-event simulation of everything around the controllers: callers, trunk groups, exchange nodes, the
+//! node register and the advice centre.
+//!
+//! The simulation does no I/O and reads no clock: a driver passes in the current time and the bytes that
+//! controllers sent, and carries out the [`Action`]s that the simulation queues. The same [`World`] therefore runs
+//! on the virtual clock and on the wall clock.
 
 mod bad_callers;
 mod callers;
@@ -23,208 +26,218 @@
 use crate::audit::Auditor;
 use crate::report::RunStatistics;
 use crate::script::Script;
-use callers::{Callers, Intent};
-use journal::Service;
+use callers::{CallIntent, CallerState};
+use journal::JournalService;
 use network::Network;
 use nodes::{Leg, Machine};
-use processor::{Job, Node};
+use processor::{Job, Processor};
 
 /// One second.
 pub const SEC: Nanos = 1_000_000_000;
 pub use dillhold::clock::MS;
 
-/// Callers whose calls stand connect again after so long when their connections are gone.
-const RECONNECT: Nanos = SEC / 5;
+/// Delay after which callers with standing calls reconnect to a controller once all their connections are closed.
+const RECONNECT_DELAY: Nanos = SEC / 5;
 
-/// A span of so many seconds.
+/// Converts seconds to nanoseconds.
 pub fn seconds_to_nanos(seconds: f64) -> Nanos {
     (seconds * 1e9).round() as Nanos
 }
 
-/// A connection between a controller and somebody of the world. Numbers are never used again.
-pub type WireId = u64;
+/// Identifies a connection between a controller and a simulated endpoint. Ids are never reused.
+pub type SimConnectionId = u64;
 
-/// Who of the world is at the other end of a wire.
+/// The simulated end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Party {
-    /// Callers of the controller's exchange, and calls in transit.
+pub enum Endpoint {
+    /// Callers of the controller's exchange, and the source of calls in transit.
     Callers,
-    /// Somebody who connects where callers do and keeps to no protocol.
+    /// A client that connects to the callers' address and violates the protocol.
     BadCaller,
-    /// A results node's machine; its place in the list of all machines there ever were.
+    /// The machine of a node, by its index among all machines created so far.
     Machine(usize),
-    /// The journal service.
+    /// The controller's journal service.
     Journal,
 }
 
-/// What is to be done with wires and controllers.
+/// A request of the simulation to its driver.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Callers connect to a controller: [`World::connected`] or [`World::closed`] tells what came of it.
-    Connect(WireId, usize),
-    /// Bytes on a wire, for the controller at its other end.
-    Send(WireId, usize, Vec<u8>),
-    /// A wire to that controller is closed.
-    Close(WireId, usize),
-    /// The writing side of a wire to that controller is closed, once it is up.
-    Finish(WireId, usize),
-    /// A controller is started with this configuration.
-    Start(usize, String),
-    /// A controller gets a signal. Told to end, [`World::stopped`] tells when it has.
-    Signal(usize, Signal),
-    /// A controller is killed.
-    Kill(usize),
+pub enum Action {
+    /// Connect to a controller. The driver reports the result with [`World::connection_established`] or
+    /// [`World::connection_closed`].
+    Connect(SimConnectionId, usize),
+    /// Send bytes to the controller.
+    Send(SimConnectionId, usize, Vec<u8>),
+    /// Close the connection.
+    Close(SimConnectionId, usize),
+    /// Shut down the sending direction, once the connection is established and its output is written.
+    ShutdownWrite(SimConnectionId, usize),
+    /// Start a controller with this configuration.
+    StartController(usize, String),
+    /// Send a signal to a controller. The driver reports its exit with [`World::controller_stopped`].
+    SignalController(usize, Signal),
+    /// Kill a controller.
+    KillController(usize),
 }
 
 /// A signal to a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM: end.
+    /// SIGTERM: shut down.
     Terminate,
-    /// SIGINT: the same.
+    /// SIGINT: shut down, as for SIGTERM.
     Interrupt,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
 }
 
-/// What becomes of a connection to a party of the world.
+/// Result of a controller's attempt to connect to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
-    /// It comes up.
-    Up,
-    /// It is refused.
+pub enum ConnectOutcome {
+    /// The connection is established.
+    Accepted,
+    /// The connection is refused.
     Refused,
-    /// It never comes up.
-    Never,
+    /// The connection is neither established nor refused.
+    TimesOut,
 }
 
-/// Gives the address of a party as one controller reaches it.
-pub type Addresses = Box<dyn FnMut(usize, Party) -> SocketAddr>;
+/// Returns the address at which a controller reaches an endpoint.
+pub type EndpointAddresses = Box<dyn FnMut(usize, Endpoint) -> SocketAddr>;
 
-struct Wire {
+struct SimConnection {
     controller: usize,
-    party: Party,
-    up: bool,
-    /// Nothing passes any more, though it stays open.
-    mute: bool,
-    /// The network is cut: what passed to the controller waits here for the cut to end, and what came from it.
-    held: Option<Held>,
+    endpoint: Endpoint,
+    established: bool,
+    /// The connection stays open, but bytes in both directions are dropped.
+    silenced: bool,
+    /// Present while the network to the node is partitioned.
+    partition_buffer: Option<PartitionBuffer>,
     inbox: ReadBuffer,
-    /// What waits for it to come up.
-    waiting: Vec<u8>,
+    /// Output queued until the connection is established.
+    unsent: Vec<u8>,
 }
 
-/// The latest start of a controller.
+/// State of a controller's latest start, for the readiness check.
 #[derive(Clone, Copy, Default)]
-struct Start {
+struct ControllerStart {
     at: Nanos,
-    /// A caller's connection has come up since.
-    reached: bool,
-    /// A caller's connection did not come up since.
-    missed: bool,
+    /// At least one caller connection was established since.
+    connected: bool,
+    /// At least one caller connection could not be established since.
+    connect_failed: bool,
 }
 
-/// What waits on a wire for a cut of the network to end.
+/// Bytes of a connection held back until a network partition ends.
 #[derive(Default)]
-struct Held {
+struct PartitionBuffer {
     to_controller: Vec<u8>,
     from_controller: Vec<u8>,
 }
 
-/// What is due in the world.
+/// A scheduled event of the simulation.
 #[derive(Clone, Debug)]
-enum Due {
+enum Event {
     Arrival(usize),
     Redial(u64),
-    GiveUp(u64, u32),
-    HoldEnds(u64),
-    JobDone(usize, u64),
-    Arrive(u64),
-    Refused(u64, &'static str, u16),
-    Answered(u64),
-    Repeat(u64, Nanos),
-    Cancelled(u64),
-    Freed(u64),
-    Forget(u64),
-    Told(usize, usize),
-    PollEnds(usize, WireId, u64),
-    Look,
-    Drift,
+    CallerTimeout(u64, u32),
+    HoldTimeEnds(u64),
+    JobCompleted(usize, u64),
+    SetUpArrives(u64),
+    RefusalArrives(u64, &'static str, u16),
+    AnswerArrives(u64),
+    RetransmitSetUp(u64, Nanos),
+    CancelArrives(u64),
+    FreeCircuits(u64),
+    ExpireLeg(u64),
+    JournalUpdate(usize, usize),
+    PollTimeout(usize, SimConnectionId, u64),
+    AdviceSnapshot,
+    TrafficDrift,
     Sample,
-    /// The front has noticed that a controller is about to end.
-    Front(usize),
-    /// Callers whose calls stand connect again.
+    /// The front end stops sending new connections to a terminating controller.
+    LeaveRotation(usize),
+    /// Callers with standing calls reconnect to a controller.
     Reconnect(usize),
-    /// A controller that was started then must be ready by now.
-    Ready(usize, Nanos),
-    /// A slow journal service has worked on its answer to this request.
-    PollWorked(usize, u64),
-    /// Bytes are sent on a wire, if it is still there.
-    Bytes(WireId, Vec<u8>),
-    /// Another bad caller connects; one that did must have heard something, or must have been closed.
-    BadCaller(usize, usize),
-    EndBadCaller(WireId),
-    Event(usize, usize, incidents::Phase),
+    /// Deadline by which a controller started at that time has to accept connections.
+    ReadyDeadline(usize, Nanos),
+    /// A slow journal service has finished the answer to a long poll.
+    SlowAnswerReady(usize, u64),
+    /// Sends bytes on a connection, if it is still open.
+    SendBytes(SimConnectionId, Vec<u8>),
+    BadCallerConnects(usize, usize),
+    /// Deadline by which a bad caller has to be answered or disconnected.
+    BadCallerDeadline(SimConnectionId),
+    ScriptEventPhase(usize, usize, incidents::Phase),
 }
 
-/// The world of one rehearsal.
+/// The simulated world of one rehearsal: state, event queue and pending actions.
 pub struct World {
     script: Script,
-    base: Nanos,
+    start_time: Nanos,
     now: Nanos,
-    /// Arrivals end, and all ends.
-    offers_until: Nanos,
-    until: Nanos,
-    queue: BTreeMap<(Nanos, u64), Due>,
-    next: u64,
-    acts: VecDeque<Act>,
-    addresses: Addresses,
-    wires: BTreeMap<WireId, Wire>,
-    next_wire: WireId,
+    /// No new calls are offered from this time on.
+    arrivals_end: Nanos,
+    /// The simulation ends.
+    end_time: Nanos,
+    /// By time, then in the order of scheduling.
+    event_queue: BTreeMap<(Nanos, u64), Event>,
+    next_sequence: u64,
+    actions: VecDeque<Action>,
+    addresses: EndpointAddresses,
+    connections: BTreeMap<SimConnectionId, SimConnection>,
+    next_connection: SimConnectionId,
     network: Network,
-    nodes: Vec<Node>,
+    processors: Vec<Processor>,
     machines: Vec<Machine>,
-    /// The machine that bears a node now.
-    serving: Vec<usize>,
+    /// By node, the index of the machine that currently serves it.
+    machine_of_node: Vec<usize>,
     jobs: HashMap<u64, Job>,
     next_job: u64,
     legs: BTreeMap<u64, Leg>,
     next_leg: u64,
-    /// The newest leg of a call at a controller.
-    leg_of: HashMap<(usize, u64), u64>,
-    callers: Callers,
-    intents: BTreeMap<u64, Intent>,
-    services: Vec<Service>,
-    /// Whether a controller runs.
+    /// The latest leg of each call, by controller and call id.
+    latest_leg: HashMap<(usize, u64), u64>,
+    callers: CallerState,
+    intents: BTreeMap<u64, CallIntent>,
+    journal_services: Vec<JournalService>,
+    /// By controller, whether its process runs.
     running: Vec<bool>,
-    /// Whether callers are sent to it.
-    fronted: Vec<bool>,
-    /// How it came up.
-    starts: Vec<Start>,
-    /// When it was told to end.
-    terminated: Vec<Option<Nanos>>,
-    /// Events that cut a node off from the network.
-    cut_off: Vec<u32>,
-    /// Events in which new connections to a node do not come up.
-    unreachable: Vec<u32>,
-    /// Events in which a node spoils answers, or gives them twice.
-    spoils: Vec<u32>,
-    /// Connections of bad callers, and whether they were told anything.
-    bad_callers: BTreeMap<WireId, bool>,
-    struck: Vec<Vec<usize>>,
-    /// Random numbers of what reacts; arrivals have streams of their own.
+    /// By controller, whether the front end sends new caller connections to it.
+    in_rotation: Vec<bool>,
+    controller_starts: Vec<ControllerStart>,
+    /// By controller, when SIGTERM was sent to it.
+    terminated_at: Vec<Option<Nanos>>,
+    /// By node, number of active script events that cut it off from the network.
+    active_partitions: Vec<u32>,
+    /// By node, number of active script events that block new connections to it.
+    active_connect_blocks: Vec<u32>,
+    /// By node, number of active script events in which it truncates or duplicates answers.
+    active_answer_faults: Vec<u32>,
+    /// Open connections of bad callers, and whether the controller has sent anything on them.
+    bad_callers: BTreeMap<SimConnectionId, bool>,
+    /// By script event, the nodes that it affects.
+    affected_nodes: Vec<Vec<usize>>,
+    /// Random numbers for reactions to controllers. Call arrivals use separate streams, so that they do not
+    /// depend on what controllers do.
     rng: ChaCha8Rng,
-    hash: blake3::Hasher,
-    /// What is written down for the report.
+    hasher: blake3::Hasher,
+    /// Statistics for the report.
     pub statistics: RunStatistics,
-    /// What watches the rules.
+    /// Checks the rules against the observed messages.
     pub auditor: Auditor,
 }
 
 impl World {
-    /// A world at its start. `base` is the Unix time in nanoseconds at which it begins; `offers` how long calls
-    /// are offered.
-    pub fn new(script: Script, seed: u64, base: Nanos, offers: Nanos, addresses: Addresses) -> World {
+    /// Creates a world that begins at `start_time` (Unix time in nanoseconds) and offers calls for
+    /// `arrival_period`.
+    pub fn new(
+        script: Script,
+        seed: u64,
+        start_time: Nanos,
+        arrival_period: Nanos,
+        addresses: EndpointAddresses,
+    ) -> World {
         let stream = |n| {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             rng.set_stream(n);
@@ -232,45 +245,45 @@
         };
         let nodes = script.nodes as usize;
         let network = Network::new(&script, stream(1));
-        let callers = Callers::new(&script, seed);
-        let unit = processor::unit(&script);
+        let callers = CallerState::new(&script, seed);
+        let seconds_per_set_up = processor::seconds_per_set_up(&script);
         let auditor = Auditor::new(&script);
-        let statistics = RunStatistics::new(&script, offers);
-        let struck = incidents::struck(&script, stream(2));
+        let statistics = RunStatistics::new(&script, arrival_period);
+        let affected_nodes = incidents::draw_affected_nodes(&script, stream(2));
         let mut world = World {
-            base,
-            now: base,
-            offers_until: base + offers,
-            until: base + offers + seconds_to_nanos(script.run_out.0),
-            queue: BTreeMap::new(),
-            next: 0,
-            acts: VecDeque::new(),
+            start_time,
+            now: start_time,
+            arrivals_end: start_time + arrival_period,
+            end_time: start_time + arrival_period + seconds_to_nanos(script.run_out.0),
+            event_queue: BTreeMap::new(),
+            next_sequence: 0,
+            actions: VecDeque::new(),
             addresses,
-            wires: BTreeMap::new(),
-            next_wire: 1,
+            connections: BTreeMap::new(),
+            next_connection: 1,
             network,
-            nodes: (0..nodes).map(|_| Node::new(unit)).collect(),
+            processors: (0..nodes).map(|_| Processor::new(seconds_per_set_up)).collect(),
             machines: (0..nodes).map(Machine::first).collect(),
-            serving: (0..nodes).collect(),
+            machine_of_node: (0..nodes).collect(),
             jobs: HashMap::new(),
             next_job: 0,
             legs: BTreeMap::new(),
             next_leg: 0,
-            leg_of: HashMap::new(),
+            latest_leg: HashMap::new(),
             callers,
             intents: BTreeMap::new(),
-            services: (0..nodes).map(|_| Service::default()).collect(),
+            journal_services: (0..nodes).map(|_| JournalService::default()).collect(),
             running: vec![false; nodes],
-            fronted: vec![false; nodes],
-            starts: vec![Start::default(); nodes],
-            terminated: vec![None; nodes],
-            cut_off: vec![0; nodes],
-            unreachable: vec![0; nodes],
-            spoils: vec![0; nodes],
+            in_rotation: vec![false; nodes],
+            controller_starts: vec![ControllerStart::default(); nodes],
+            terminated_at: vec![None; nodes],
+            active_partitions: vec![0; nodes],
+            active_connect_blocks: vec![0; nodes],
+            active_answer_faults: vec![0; nodes],
             bad_callers: BTreeMap::new(),
-            struck,
+            affected_nodes,
             rng: stream(3),
-            hash: blake3::Hasher::new(),
+            hasher: blake3::Hasher::new(),
             statistics,
             auditor,
             script,
@@ -279,34 +292,35 @@
             world.start_controller(controller);
             world.schedule_arrival(controller);
         }
-        world.later(0, Due::Look);
-        world.later(seconds_to_nanos(world.script.groups.drift_every.0), Due::Drift);
-        world.later(SEC / 2, Due::Sample);
+        world.schedule_in(0, Event::AdviceSnapshot);
+        world.schedule_in(seconds_to_nanos(world.script.groups.drift_every.0), Event::TrafficDrift);
+        world.schedule_in(SEC / 2, Event::Sample);
         world.schedule_events();
         world
     }
 
-    /// The script that is played.
+    /// Returns the script of this rehearsal.
     pub fn script(&self) -> &Script {
         &self.script
     }
 
-    /// How many controllers there are.
-    pub fn controllers(&self) -> usize {
-        self.nodes.len()
+    /// Returns the number of controllers.
+    pub fn controller_count(&self) -> usize {
+        self.processors.len()
     }
 
-    /// The load of fresh calls that is offered at the plan's rate times the load, without drift, in erlang of calls:
-    /// by class and the two ends of a group, the lower first.
+    /// Returns the load of fresh calls in erlang of calls, by class and by the two ends of a trunk group, the lower
+    /// node first. Demand events, the load profile and traffic drift are not included.
     pub fn offered_load(&self) -> BTreeMap<(String, (u32, u32)), f64> {
-        let s = &self.script;
-        let shares: f64 = s.classes.iter().map(|c| c.share.0).sum();
-        let rate = s.planned_calls.0 / f64::from(s.nodes) * s.load.0;
+        let script = &self.script;
+        let shares: f64 = script.classes.iter().map(|c| c.share.0).sum();
+        let rate = script.planned_calls.0 / f64::from(script.nodes) * script.load.0;
         let mut loads = BTreeMap::new();
-        for class in &s.classes {
-            for a in 0..self.nodes.len() {
-                for b in (0..self.nodes.len()).filter(|b| *b != a) {
-                    let load = rate * self.network.share(a, b) * class.share.0 / shares * class.hold.0;
+        for class in &script.classes {
+            for a in 0..self.processors.len() {
+                for b in (0..self.processors.len()).filter(|b| *b != a) {
+                    let load =
+                        rate * self.network.traffic_share(a, b) * class.share.0 / shares * class.hold.0;
                     let ends = (a.min(b) as u32, a.max(b) as u32);
                     *loads.entry((class.name.clone(), ends)).or_insert(0.0) += load;
                 }
@@ -315,250 +329,291 @@
         loads
     }
 
-    /// When something is due next; `None`: all is over.
-    pub fn next_due(&self) -> Option<Nanos> {
-        let first = self.queue.first_key_value().map(|((at, _), _)| *at);
-        first.filter(|at| *at <= self.until)
+    /// Returns the time of the next event, or `None` once no event is left before the end.
+    pub fn next_event_time(&self) -> Option<Nanos> {
+        let first = self.event_queue.first_key_value().map(|((at, _), _)| *at);
+        first.filter(|at| *at <= self.end_time)
     }
 
-    /// When all is over at the latest.
-    pub fn until(&self) -> Nanos {
-        self.until
+    /// Returns the time at which the simulation ends.
+    pub fn end_time(&self) -> Nanos {
+        self.end_time
     }
 
-    /// The time since the start, in seconds.
-    fn seconds(&self) -> f64 {
-        (self.now - self.base) as f64 * 1e-9
+    fn elapsed_seconds(&self) -> f64 {
+        (self.now - self.start_time) as f64 * 1e-9
     }
 
-    /// Lets time pass and carries out what is due.
+    /// Advances the time to `now` and runs all events that are due.
     pub fn advance(&mut self, now: Nanos) {
-        while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= now) {
-            let ((at, _), due) = entry.remove_entry();
+        while let Some(entry) = self.event_queue.first_entry().filter(|e| e.key().0 <= now) {
+            let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.due(due);
+            self.dispatch(event);
         }
         self.now = self.now.max(now);
         self.auditor.advance(self.now);
     }
 
-    /// What is to be done next.
-    pub fn poll(&mut self) -> Option<Act> {
-        self.acts.pop_front()
+    /// Removes and returns the next action for the driver.
+    pub fn poll_action(&mut self) -> Option<Action> {
+        self.actions.pop_front()
     }
 
-    /// The digest of everything that passed.
+    /// Returns the digest of all messages so far, with their times and connections.
     pub fn digest(&self) -> String {
-        self.hash.finalize().to_hex().to_string()
+        self.hasher.finalize().to_hex().to_string()
     }
 
-    fn later(&mut self, span: Nanos, due: Due) {
-        self.at(self.now + span, due);
+    fn schedule_in(&mut self, delay: Nanos, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    fn at(&mut self, at: Nanos, due: Due) {
-        self.queue.insert((at, self.next), due);
-        self.next += 1;
+    fn schedule_at(&mut self, at: Nanos, event: Event) {
+        self.event_queue.insert((at, self.next_sequence), event);
+        self.next_sequence += 1;
     }
 
-    fn due(&mut self, due: Due) {
-        match due {
-            Due::Arrival(origin) => self.arrival(origin),
-            Due::Redial(intent) => self.dial(intent),
-            Due::GiveUp(intent, tries) => self.caller_gives_up(intent, tries),
-            Due::HoldEnds(intent) => self.hold_ends(intent),
-            Due::JobDone(node, run) => self.job_done(node, run),
-            Due::Arrive(leg) => self.leg_arrives(leg),
-            Due::Refused(leg, cause, code) => self.leg_refused(leg, cause, code),
-            Due::Answered(leg) => self.answer_comes_back(leg),
-            Due::Repeat(leg, gap) => self.repeat(leg, gap),
-            Due::Cancelled(leg) => self.cancel_arrives(leg),
-            Due::Freed(leg) => self.free_circuits(leg),
-            Due::Forget(leg) => self.forget_leg(leg),
-            Due::Told(controller, event) => self.journal_learns(controller, event),
-            Due::PollEnds(controller, wire, number) => self.poll_ends(controller, wire, number),
-            Due::Look => self.centre_looks(),
-            Due::Drift => {
+    fn dispatch(&mut self, event: Event) {
+        match event {
+            Event::Arrival(origin) => self.arrival(origin),
+            Event::Redial(intent_id) => self.dial(intent_id),
+            Event::CallerTimeout(intent_id, tries) => self.caller_times_out(intent_id, tries),
+            Event::HoldTimeEnds(intent_id) => self.end_call(intent_id),
+            Event::JobCompleted(node, run) => self.complete_job(node, run),
+            Event::SetUpArrives(leg_id) => self.set_up_arrives(leg_id),
+            Event::RefusalArrives(leg_id, cause, code) => self.refusal_arrives(leg_id, cause, code),
+            Event::AnswerArrives(leg_id) => self.answer_arrives(leg_id),
+            Event::RetransmitSetUp(leg_id, gap) => self.retransmit_set_up(leg_id, gap),
+            Event::CancelArrives(leg_id) => self.cancel_arrives(leg_id),
+            Event::FreeCircuits(leg_id) => self.free_circuits(leg_id),
+            Event::ExpireLeg(leg_id) => self.expire_leg(leg_id),
+            Event::JournalUpdate(controller, event) => self.update_journal(controller, event),
+            Event::PollTimeout(controller, connection_id, number) => {
+                self.expire_poll(controller, connection_id, number)
+            }
+            Event::AdviceSnapshot => self.take_advice_snapshot(),
+            Event::TrafficDrift => {
                 self.network.drift(&self.script);
-                self.later(seconds_to_nanos(self.script.groups.drift_every.0), Due::Drift);
+                self.schedule_in(seconds_to_nanos(self.script.groups.drift_every.0), Event::TrafficDrift);
             }
-            Due::Sample => self.sample(),
-            Due::Front(controller) => self.fronted[controller] = false,
-            Due::Reconnect(controller) => self.reconnect(controller),
-            Due::PollWorked(controller, number) => self.poll_worked(controller, number),
-            Due::Bytes(wire, bytes) => self.send(wire, &bytes),
-            Due::Ready(controller, started) => self.ready_due(controller, started),
-            Due::BadCaller(event, controller) => self.bad_caller(event, controller),
-            Due::EndBadCaller(wire) => self.bad_caller_due(wire),
-            Due::Event(event, node, phase) => self.event(event, node, phase),
+            Event::Sample => self.sample(),
+            Event::LeaveRotation(controller) => self.in_rotation[controller] = false,
+            Event::Reconnect(controller) => self.reconnect(controller),
+            Event::SlowAnswerReady(controller, number) => self.finish_slow_answer(controller, number),
+            Event::SendBytes(connection_id, bytes) => self.send(connection_id, &bytes),
+            Event::ReadyDeadline(controller, started) => self.check_ready(controller, started),
+            Event::BadCallerConnects(event, controller) => self.connect_bad_caller(event, controller),
+            Event::BadCallerDeadline(connection_id) => self.check_bad_caller_answered(connection_id),
+            Event::ScriptEventPhase(event, node, phase) => self.run_script_event(event, node, phase),
         }
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // Wires
-    // -----------------------------------------------------------------------------------------------------
-
-    fn new_wire(&mut self, controller: usize, party: Party, up: bool) -> WireId {
-        let id = self.next_wire;
-        self.next_wire += 1;
-        let (inbox, waiting) = (ReadBuffer::default(), Vec::new());
-        self.wires.insert(id, Wire { controller, party, up, mute: false, held: None, inbox, waiting });
+    fn new_connection(
+        &mut self,
+        controller: usize,
+        endpoint: Endpoint,
+        established: bool,
+    ) -> SimConnectionId {
+        let id = self.next_connection;
+        self.next_connection += 1;
+        let (inbox, unsent) = (ReadBuffer::default(), Vec::new());
+        self.connections.insert(
+            id,
+            SimConnection {
+                controller,
+                endpoint,
+                established,
+                silenced: false,
+                partition_buffer: None,
+                inbox,
+                unsent,
+            },
+        );
         id
     }
 
-    /// Whether a controller's connection to a party comes up.
-    pub fn reach(&self, controller: usize, party: Party) -> Reach {
-        match party {
-            Party::Machine(m) => {
-                let machine = &self.machines[self.bears(m)];
-                let cut = self.cut_off[machine.node] + self.unreachable[machine.node] > 0;
+    /// Returns what a controller's attempt to connect to an endpoint leads to at this time.
+    pub fn connect_outcome(&self, controller: usize, endpoint: Endpoint) -> ConnectOutcome {
+        match endpoint {
+            Endpoint::Machine(m) => {
+                let machine = &self.machines[self.machine_at(m)];
+                let cut = self.active_partitions[machine.node] + self.active_connect_blocks[machine.node] > 0;
                 if cut {
-                    Reach::Never
+                    ConnectOutcome::TimesOut
                 } else {
-                    machine.reach
+                    machine.connect_outcome
                 }
             }
-            Party::Journal if self.services[controller].broken > 0 => Reach::Refused,
-            _ => Reach::Up,
+            Endpoint::Journal if self.journal_services[controller].broken_events > 0 => {
+                ConnectOutcome::Refused
+            }
+            _ => ConnectOutcome::Accepted,
         }
     }
 
-    /// A controller has connected to a party.
-    pub fn accepted(&mut self, now: Nanos, controller: usize, party: Party) -> WireId {
+    /// Handles a new connection from a controller to an endpoint.
+    pub fn controller_connected(
+        &mut self,
+        now: Nanos,
+        controller: usize,
+        endpoint: Endpoint,
+    ) -> SimConnectionId {
         self.advance(now);
-        let wire = self.new_wire(controller, party, true);
-        if let Party::Machine(m) = party {
-            self.machine_connected(controller, m, wire);
+        let connection_id = self.new_connection(controller, endpoint, true);
+        if let Endpoint::Machine(m) = endpoint {
+            self.accept_machine_connection(controller, m, connection_id);
         }
-        wire
+        connection_id
     }
 
-    /// A connection of callers is up.
-    pub fn connected(&mut self, now: Nanos, wire: WireId) {
+    /// Handles the establishment of a connection that was requested by [`Action::Connect`].
+    pub fn connection_established(&mut self, now: Nanos, connection_id: SimConnectionId) {
         self.advance(now);
-        if let Some(w) = self.wires.get_mut(&wire) {
-            w.up = true;
-            self.starts[w.controller].reached = true;
-            let waiting = std::mem::take(&mut w.waiting);
-            if !waiting.is_empty() {
-                self.send(wire, &waiting);
+        if let Some(connection) = self.connections.get_mut(&connection_id) {
+            connection.established = true;
+            self.controller_starts[connection.controller].connected = true;
+            let unsent = std::mem::take(&mut connection.unsent);
+            if !unsent.is_empty() {
+                self.send(connection_id, &unsent);
             }
         }
     }
 
-    /// A wire is gone: the controller closed it, or refused it, or died.
-    pub fn closed(&mut self, now: Nanos, wire: WireId) {
+    /// Handles the end of a connection: the controller closed or refused it, or exited.
+    pub fn connection_closed(&mut self, now: Nanos, connection_id: SimConnectionId) {
         self.advance(now);
-        self.wire_gone(wire);
+        self.remove_connection(connection_id);
     }
 
-    fn wire_gone(&mut self, wire: WireId) {
-        let Some(gone) = self.wires.remove(&wire) else { return };
-        match gone.party {
-            Party::Callers => self.callers_wire_gone(gone.controller, wire, gone.up),
-            Party::BadCaller => {
-                self.bad_callers.remove(&wire);
+    fn remove_connection(&mut self, connection_id: SimConnectionId) {
+        let Some(gone) = self.connections.remove(&connection_id) else { return };
+        match gone.endpoint {
+            Endpoint::Callers => {
+                self.caller_connection_closed(gone.controller, connection_id, gone.established)
+            }
+            Endpoint::BadCaller => {
+                self.bad_callers.remove(&connection_id);
             }
-            Party::Machine(m) => self.machine_wire_gone(gone.controller, m, wire),
-            Party::Journal => self.services[gone.controller].wire_gone(wire),
+            Endpoint::Machine(m) => self.machine_connection_closed(gone.controller, m, connection_id),
+            Endpoint::Journal => self.journal_services[gone.controller].connection_closed(connection_id),
         }
     }
 
-    /// Whether what is said on a wire passes.
-    fn passes(&self, wire: WireId) -> bool {
-        self.wires.get(&wire).is_some_and(|w| !w.mute && w.held.is_none())
+    /// Whether bytes sent on a connection are delivered at once.
+    fn delivers_now(&self, connection_id: SimConnectionId) -> bool {
+        self.connections
+            .get(&connection_id)
+            .is_some_and(|connection| !connection.silenced && connection.partition_buffer.is_none())
     }
 
-    /// Whether what is said on a wire arrives, now or once a cut of the network is over.
-    fn arrives(&self, wire: WireId) -> bool {
-        self.wires.get(&wire).is_some_and(|w| !w.mute)
+    /// Whether bytes sent on a connection are delivered, at once or after a network partition.
+    fn delivers_eventually(&self, connection_id: SimConnectionId) -> bool {
+        self.connections.get(&connection_id).is_some_and(|connection| !connection.silenced)
     }
 
-    /// The world closes a wire of its own accord.
-    fn hang_up(&mut self, wire: WireId) {
-        if let Some(w) = self.wires.get(&wire) {
-            self.acts.push_back(Act::Close(wire, w.controller));
-            self.wire_gone(wire);
+    /// Closes a connection from the endpoint's side.
+    fn close_connection(&mut self, connection_id: SimConnectionId) {
+        if let Some(connection) = self.connections.get(&connection_id) {
+            self.actions.push_back(Action::Close(connection_id, connection.controller));
+            self.remove_connection(connection_id);
         }
     }
 
-    fn send(&mut self, wire: WireId, bytes: &[u8]) {
-        let Some(w) = self.wires.get_mut(&wire).filter(|w| !w.mute) else { return };
-        if !w.up {
-            return w.waiting.extend(bytes);
+    fn send(&mut self, connection_id: SimConnectionId, bytes: &[u8]) {
+        let Some(connection) =
+            self.connections.get_mut(&connection_id).filter(|connection| !connection.silenced)
+        else {
+            return;
+        };
+        if !connection.established {
+            return connection.unsent.extend(bytes);
         }
-        if let Some(held) = &mut w.held {
+        if let Some(held) = &mut connection.partition_buffer {
             return held.to_controller.extend(bytes);
         }
-        let controller = w.controller;
-        passed(&mut self.hash, self.now, wire, 0, bytes);
-        match self.acts.back_mut() {
-            Some(Act::Send(last, _, more)) if *last == wire => more.extend(bytes),
-            _ => self.acts.push_back(Act::Send(wire, controller, bytes.to_vec())),
+        let controller = connection.controller;
+        update_digest(&mut self.hasher, self.now, connection_id, 0, bytes);
+        match self.actions.back_mut() {
+            Some(Action::Send(last, _, more)) if *last == connection_id => more.extend(bytes),
+            _ => self.actions.push_back(Action::Send(connection_id, controller, bytes.to_vec())),
         }
     }
 
-    /// Bytes came from a controller.
-    pub fn received(&mut self, now: Nanos, wire: WireId, bytes: &[u8]) {
+    /// Handles bytes from a controller.
+    pub fn bytes_received(&mut self, now: Nanos, connection_id: SimConnectionId, bytes: &[u8]) {
         self.advance(now);
-        let Some(w) = self.wires.get_mut(&wire).filter(|w| !w.mute) else { return };
-        if let Some(held) = &mut w.held {
+        let Some(connection) =
+            self.connections.get_mut(&connection_id).filter(|connection| !connection.silenced)
+        else {
+            return;
+        };
+        if let Some(held) = &mut connection.partition_buffer {
             return held.from_controller.extend(bytes);
         }
-        passed(&mut self.hash, self.now, wire, 1, bytes);
-        w.inbox.append(bytes);
-        let mut inbox = std::mem::take(&mut w.inbox);
-        let (controller, party) = (w.controller, w.party);
-        let readable = match party {
-            Party::Callers => self.callers_hear(controller, &mut inbox),
-            Party::BadCaller => {
-                self.bad_callers.insert(wire, true);
+        update_digest(&mut self.hasher, self.now, connection_id, 1, bytes);
+        connection.inbox.append(bytes);
+        let mut inbox = std::mem::take(&mut connection.inbox);
+        let (controller, endpoint) = (connection.controller, connection.endpoint);
+        let readable = match endpoint {
+            Endpoint::Callers => self.handle_caller_messages(controller, &mut inbox),
+            Endpoint::BadCaller => {
+                self.bad_callers.insert(connection_id, true);
                 true
             }
-            Party::Machine(m) => self.machine_hears(controller, m, wire, &mut inbox),
-            Party::Journal => self.journal_asked(controller, wire, &mut inbox),
+            Endpoint::Machine(m) => self.handle_sip_messages(controller, m, connection_id, &mut inbox),
+            Endpoint::Journal => self.handle_journal_request(controller, connection_id, &mut inbox),
         };
         if !readable {
             self.auditor.malformed_output(self.now, controller);
-            return self.hang_up(wire);
+            return self.close_connection(connection_id);
         }
-        if let Some(w) = self.wires.get_mut(&wire) {
-            w.inbox = inbox;
+        if let Some(connection) = self.connections.get_mut(&connection_id) {
+            connection.inbox = inbox;
         }
     }
 
     fn sample(&mut self) {
-        for n in 0..self.nodes.len() {
-            let (wait, cold) = (self.nodes[n].wait(), self.nodes[n].cold_state(self.now, &self.script));
-            self.statistics.sample_node(self.seconds(), n, wait, cold);
+        for n in 0..self.processors.len() {
+            let (wait, cold) = (
+                self.processors[n].queue_wait_seconds(),
+                self.processors[n].cold_load(self.now, &self.script),
+            );
+            self.statistics.sample_node(self.elapsed_seconds(), n, wait, cold);
         }
-        if self.now < self.offers_until {
-            self.later(SEC / 2, Due::Sample);
+        if self.now < self.arrivals_end {
+            self.schedule_in(SEC / 2, Event::Sample);
         }
     }
 
-    fn centre_looks(&mut self) {
-        self.network.look();
-        // The look advised by is between one and two spans old.
+    fn take_advice_snapshot(&mut self) {
+        self.network.take_snapshot();
+        // Advice uses the snapshot before the latest one, which is one to two intervals old.
         let [from, to] = self.script.advice.age;
-        self.later(seconds_to_nanos((to.0 - from.0).max(0.5)), Due::Look);
+        self.schedule_in(seconds_to_nanos((to.0 - from.0).max(0.5)), Event::AdviceSnapshot);
     }
 
-    /// The end of the books.
-    fn forget_leg(&mut self, leg: u64) {
-        if let Some(l) = self.legs.remove(&leg) {
-            if self.leg_of.get(&(l.controller, l.call)) == Some(&leg) {
-                self.leg_of.remove(&(l.controller, l.call));
+    /// Drops a leg after its retention time.
+    fn expire_leg(&mut self, leg_id: u64) {
+        if let Some(leg) = self.legs.remove(&leg_id) {
+            if self.latest_leg.get(&(leg.controller, leg.call_id)) == Some(&leg_id) {
+                self.latest_leg.remove(&(leg.controller, leg.call_id));
             }
         }
     }
 }
 
-/// Adds a message to the digest.
-fn passed(hash: &mut blake3::Hasher, now: Nanos, wire: WireId, direction: u8, bytes: &[u8]) {
-    hash.update(&now.to_le_bytes());
-    hash.update(&wire.to_le_bytes());
-    hash.update(&[direction]);
-    hash.update(&(bytes.len() as u64).to_le_bytes());
-    hash.update(bytes);
+/// Adds bytes to the digest. Direction: 0 towards the controller, 1 from it.
+fn update_digest(
+    hasher: &mut blake3::Hasher,
+    now: Nanos,
+    connection_id: SimConnectionId,
+    direction: u8,
+    bytes: &[u8],
+) {
+    hasher.update(&now.to_le_bytes());
+    hasher.update(&connection_id.to_le_bytes());
+    hasher.update(&[direction]);
+    hasher.update(&(bytes.len() as u64).to_le_bytes());
+    hasher.update(bytes);
 }
