--- a/rehearsal/src/world/nodes.rs
+++ b/rehearsal/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! Results nodes: the machines that bear them, and the legs of calls that pass through.
+//! Exchange nodes: the machines that serve them, their SIP side, and the legs of calls between nodes.
 
 use std::collections::BTreeMap;
 
@@ -7,34 +7,35 @@
 use pitchgw::interface::Nanos;
 use rand::Rng;
 
-use super::callers::Owner;
-use super::processor::What;
-use super::{seconds_to_nanos, Due, Party, Reach, WireId, World, MS};
+use super::callers::CallOwner;
+use super::processor::JobKind;
+use super::{seconds_to_nanos, ConnectOutcome, Endpoint, Event, SimConnectionId, World, MS};
 use crate::audit::Observation;
 
-/// A leg that is over is known for so long.
-const FORGOTTEN_AFTER: Nanos = 5_000 * MS;
+/// How long an ended leg is kept, for messages that cross its end.
+const LEG_RETENTION: Nanos = 5_000 * MS;
 
-/// Share of the answers that a node spoils, or gives twice, while it does so at all.
-const SPOILT: f64 = 0.3;
-/// A second copy of an answer comes so much later.
-const SECOND_COPY: Nanos = 5 * MS;
+/// Probability that an answer is truncated or duplicated while such a fault is active.
+const ANSWER_FAULT_PROBABILITY: f64 = 0.3;
+/// Delay of the second copy of a duplicated answer.
+const DUPLICATE_ANSWER_DELAY: Nanos = 5 * MS;
 
-/// A machine that bears, or bore, a node.
+/// A machine that serves a node now, or served it earlier.
 pub(super) struct Machine {
     pub node: usize,
     pub uid: String,
-    /// When it started; `None`: long ago.
-    pub boot: Option<Nanos>,
-    pub reach: Reach,
-    /// The machine whose address it has, itself or an earlier one.
-    pub address_of: usize,
-    /// Connections from each controller.
-    wires: BTreeMap<usize, Vec<WireId>>,
-    /// Releases for a controller that has no connection.
-    unsaid: BTreeMap<usize, Vec<(u64, u8)>>,
-    /// Releases that were said and not answered yet, by call: the wire and the cause.
-    unanswered: BTreeMap<u64, (WireId, u8)>,
+    /// `None` if it was running before the simulation began.
+    pub started_at: Option<Nanos>,
+    /// Result of connecting to this machine.
+    pub connect_outcome: ConnectOutcome,
+    /// Index of the machine whose address it uses: its own, or that of the machine it replaced.
+    pub address_owner: usize,
+    /// Open connections, by controller.
+    connections: BTreeMap<usize, Vec<SimConnectionId>>,
+    /// Releases that could not be sent, by controller: call id and Q.850 cause.
+    unsent_releases: BTreeMap<usize, Vec<(u64, u8)>>,
+    /// Releases sent and not yet acknowledged, by call id: connection and Q.850 cause.
+    unacknowledged_releases: BTreeMap<u64, (SimConnectionId, u8)>,
 }
 
 impl Machine {
@@ -42,176 +43,199 @@
         Machine::new(node, node, node, None)
     }
 
-    pub fn new(number: usize, node: usize, address_of: usize, boot: Option<Nanos>) -> Machine {
+    pub fn new(number: usize, node: usize, address_owner: usize, started_at: Option<Nanos>) -> Machine {
         Machine {
             node,
             uid: format!("s-{number:08x}"),
-            boot,
-            reach: Reach::Up,
-            address_of,
-            wires: BTreeMap::new(),
-            unsaid: BTreeMap::new(),
-            unanswered: BTreeMap::new(),
+            started_at,
+            connect_outcome: ConnectOutcome::Accepted,
+            address_owner,
+            connections: BTreeMap::new(),
+            unsent_releases: BTreeMap::new(),
+            unacknowledged_releases: BTreeMap::new(),
         }
     }
 }
 
-/// How far a leg has come.
+/// State of a leg.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum State {
-    Setting,
+pub(super) enum LegState {
+    SettingUp,
     Stands,
-    Over,
+    Ended,
 }
 
-/// A set-up from a controller to a machine, and the call that stands by it.
+/// A call leg: a set-up from a controller to a machine, and the standing call that results from it.
 pub(super) struct Leg {
-    pub call: u64,
+    pub call_id: u64,
     pub controller: usize,
     pub machine: usize,
-    pub to: usize,
-    pub state: State,
+    /// Node that the set-up was sent to: the destination or a tandem.
+    pub target_node: usize,
+    pub state: LegState,
+    /// Node that the call is for.
     destination: usize,
     class: usize,
     width: u32,
-    wire: WireId,
+    connection_id: SimConnectionId,
     sequence: u32,
     number: String,
     description: Vec<u8>,
     pub answer: Vec<u8>,
-    until: Nanos,
-    seized: bool,
-    /// Its set-up has been worked on where it was for.
-    reached: bool,
-    pub parent: Option<u64>,
-    /// The call in transit that it became, and the newest leg of that.
-    transit: Option<u64>,
-    child: Option<u64>,
-    refused_by: &'static str,
+    deadline: Nanos,
+    holds_circuits: bool,
+    /// The target node has processed the set-up.
+    processed_at_target: bool,
+    /// The leg that brought this call to its controller, for a call in transit.
+    pub parent_leg: Option<u64>,
+    /// Id of the call in transit that the target node offered to its own controller.
+    transit_call_id: Option<u64>,
+    /// The latest leg of that call in transit.
+    child_leg: Option<u64>,
+    refusal_cause: &'static str,
 }
 
-fn say(
-    out: &mut Vec<u8>,
+fn write_sip(
+    output: &mut Vec<u8>,
     line: std::fmt::Arguments<'_>,
     id: u64,
     sequence: (u32, &str),
-    further: &str,
+    extra_headers: &str,
     body: &[u8],
 ) {
-    sip::write(out, line, format!("{id:016x}").as_bytes(), sequence, format_args!("{further}"), body);
+    sip::write(
+        output,
+        line,
+        format!("{id:016x}").as_bytes(),
+        sequence,
+        format_args!("{extra_headers}"),
+        body,
+    );
 }
 
 impl World {
-    pub(super) fn delay(&mut self, a: usize, b: usize) -> Nanos {
-        self.network.delay(&self.script, &mut self.rng, a, b)
+    pub(super) fn delay(&mut self, from: usize, to: usize) -> Nanos {
+        self.network.delay(&self.script, &mut self.rng, from, to)
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // What controllers say
-    // -----------------------------------------------------------------------------------------------------
-
-    /// The machine that has an address now.
-    pub(super) fn bears(&self, address_of: usize) -> usize {
-        let borne = self.machines.iter().rposition(|m| m.address_of == address_of);
-        borne.unwrap_or(address_of)
+    /// Returns the machine that currently uses an address.
+    pub(super) fn machine_at(&self, address_owner: usize) -> usize {
+        let latest = self.machines.iter().rposition(|m| m.address_owner == address_owner);
+        latest.unwrap_or(address_owner)
     }
 
-    pub(super) fn machine_connected(&mut self, controller: usize, address_of: usize, wire: WireId) {
-        let machine = self.bears(address_of);
-        if let Some(w) = self.wires.get_mut(&wire) {
-            w.party = Party::Machine(machine);
+    pub(super) fn accept_machine_connection(
+        &mut self,
+        controller: usize,
+        address_owner: usize,
+        connection_id: SimConnectionId,
+    ) {
+        let machine = self.machine_at(address_owner);
+        if let Some(connection) = self.connections.get_mut(&connection_id) {
+            connection.endpoint = Endpoint::Machine(machine);
         }
         let m = &mut self.machines[machine];
-        m.wires.entry(controller).or_default().push(wire);
-        let unsaid = m.unsaid.remove(&controller).unwrap_or_default();
+        m.connections.entry(controller).or_default().push(connection_id);
+        let unsent_releases = m.unsent_releases.remove(&controller).unwrap_or_default();
         let node = m.node;
-        self.tell_group(controller, node);
-        for (id, cause) in unsaid {
-            self.say_release(controller, machine, id, cause);
+        self.notify_group(controller, node);
+        for (id, cause) in unsent_releases {
+            self.send_release(controller, machine, id, cause);
         }
     }
 
-    pub(super) fn machine_wire_gone(&mut self, controller: usize, machine: usize, wire: WireId) {
-        if let Some(wires) = self.machines[machine].wires.get_mut(&controller) {
-            wires.retain(|w| *w != wire);
+    pub(super) fn machine_connection_closed(
+        &mut self,
+        controller: usize,
+        machine: usize,
+        connection_id: SimConnectionId,
+    ) {
+        if let Some(connections) = self.machines[machine].connections.get_mut(&controller) {
+            connections.retain(|id| *id != connection_id);
         }
-        // A release that may not have arrived is said again on another connection, or on the next one.
+        // A release that may not have arrived is sent again on another connection, or on the next one.
         let mut lost: Vec<(u64, u8)> = Vec::new();
-        self.machines[machine].unanswered.retain(|id, (on, cause)| {
-            if *on == wire {
+        self.machines[machine].unacknowledged_releases.retain(|id, (on, cause)| {
+            if *on == connection_id {
                 lost.push((*id, *cause));
             }
-            *on != wire
+            *on != connection_id
         });
-        if self.machines[machine].reach == Reach::Up {
+        if self.machines[machine].connect_outcome == ConnectOutcome::Accepted {
             for (id, cause) in lost {
-                self.say_release(controller, machine, id, cause);
+                self.send_release(controller, machine, id, cause);
             }
         }
-        // What was said of an attempt on a silent connection, its end included, was not heard.
-        let on: Vec<u64> = self.legs.iter().filter(|(_, l)| l.wire == wire).map(|(id, _)| *id).collect();
-        for leg in on {
+        // On a silenced connection the controller received no response to its attempts, not even their end.
+        let open_legs: Vec<u64> = self
+            .legs
+            .iter()
+            .filter(|(_, leg)| leg.connection_id == connection_id)
+            .map(|(id, _)| *id)
+            .collect();
+        for leg_id in open_legs {
             self.auditor.observe(
                 self.now,
-                Observation::AttemptConnectionLost { controller, id: self.legs[&leg].call },
+                Observation::AttemptConnectionLost { controller, id: self.legs[&leg_id].call_id },
             );
-            if self.legs[&leg].state == State::Setting {
-                self.call_off(leg);
+            if self.legs[&leg_id].state == LegState::SettingUp {
+                self.cancel_leg(leg_id);
             }
         }
     }
 
-    /// Takes in what a controller says to a machine; false: it cannot be read.
-    pub(super) fn machine_hears(
+    /// Handles SIP messages from a controller. Returns false if they cannot be parsed.
+    pub(super) fn handle_sip_messages(
         &mut self,
         controller: usize,
         machine: usize,
-        wire: WireId,
+        connection_id: SimConnectionId,
         inbox: &mut ReadBuffer,
     ) -> bool {
         loop {
-            let (message, taken) = match sip::parse(inbox.unread()) {
+            let (message, consumed) = match sip::parse(inbox.unread()) {
                 Err(_) => return false,
                 Ok(None) => return true,
                 Ok(Some(found)) => found,
             };
             let Some((id, (sequence, _))) = message.call_id().zip(message.cseq()) else { return false };
-            let mut out = Vec::new();
+            let mut output = Vec::new();
             match message.start_line {
                 StartLine::Request(b"INVITE") => {
-                    self.invited(controller, machine, wire, (id, sequence), &message);
+                    self.handle_invite(controller, machine, connection_id, (id, sequence), &message);
                 }
                 StartLine::Request(b"CANCEL") => {
                     self.auditor.observe(self.now, Observation::CancelToNode { controller, id });
-                    say(&mut out, format_args!("SIP/2.0 200 OK"), id, (sequence, "CANCEL"), "", b"");
-                    self.send(wire, &out);
-                    let leg = self.leg_of.get(&(controller, id)).copied();
-                    let open = |l: &u64| self.legs.get(l).is_some_and(|l| l.state == State::Setting);
-                    if let Some(leg) = leg.filter(open) {
-                        self.call_off(leg);
+                    write_sip(&mut output, format_args!("SIP/2.0 200 OK"), id, (sequence, "CANCEL"), "", b"");
+                    self.send(connection_id, &output);
+                    let leg_id = self.latest_leg.get(&(controller, id)).copied();
+                    let open =
+                        |leg: &u64| self.legs.get(leg).is_some_and(|leg| leg.state == LegState::SettingUp);
+                    if let Some(leg_id) = leg_id.filter(open) {
+                        self.cancel_leg(leg_id);
                     }
                 }
                 StartLine::Request(b"BYE") => {
                     self.auditor.observe(self.now, Observation::ByeFromController { controller, id });
-                    say(&mut out, format_args!("SIP/2.0 200 OK"), id, (sequence, "BYE"), "", b"");
-                    self.send(wire, &out);
-                    self.released_by_controller(controller, id);
+                    write_sip(&mut output, format_args!("SIP/2.0 200 OK"), id, (sequence, "BYE"), "", b"");
+                    self.send(connection_id, &output);
+                    self.handle_controller_release(controller, id);
                 }
                 StartLine::Response(_) => {
-                    self.machines[machine].unanswered.remove(&id);
+                    self.machines[machine].unacknowledged_releases.remove(&id);
                 }
                 _ => {}
             }
-            inbox.consume(taken);
+            inbox.consume(consumed);
         }
     }
 
-    fn invited(
+    fn handle_invite(
         &mut self,
         controller: usize,
         machine: usize,
-        wire: WireId,
-        (call, sequence): (u64, u32),
+        connection_id: SimConnectionId,
+        (call_id, sequence): (u64, u32),
         message: &Message<'_>,
     ) {
         let text = |name| String::from_utf8_lossy(message.header(name).unwrap_or_default()).into_owned();
@@ -223,419 +247,464 @@
             controller,
             node,
             machine,
-            id: call,
+            id: call_id,
             class: &class,
             number: &number,
             description: message.body,
         };
         self.auditor.observe(self.now, seen);
-        let Some(side) = self.callers.sides.get(&(controller, call)) else { return };
-        let (owner, destination, class) = (side.owner, side.destination, side.class);
-        let id = self.next_leg;
+        let Some(call) = self.callers.offered_calls.get(&(controller, call_id)) else { return };
+        let (owner, destination, class) = (call.owner, call.destination, call.class);
+        let leg_id = self.next_leg;
         self.next_leg += 1;
-        let parent = match owner {
-            Owner::Transit(parent) => Some(parent),
-            Owner::Caller(_) => None,
+        let parent_leg = match owner {
+            CallOwner::Transit(parent) => Some(parent),
+            CallOwner::Caller(_) => None,
         };
         let width = self.script.classes[class].width;
         let leg = Leg {
-            call,
+            call_id,
             controller,
             machine,
-            to: node,
-            state: State::Setting,
+            target_node: node,
+            state: LegState::SettingUp,
             destination,
             class,
             width,
-            wire,
+            connection_id,
             sequence,
             number,
             description: message.body.to_vec(),
             answer: Vec::new(),
-            until: self.now + wait,
-            seized: false,
-            reached: false,
-            parent,
-            transit: None,
-            child: None,
-            refused_by: "",
+            deadline: self.now + wait,
+            holds_circuits: false,
+            processed_at_target: false,
+            parent_leg,
+            transit_call_id: None,
+            child_leg: None,
+            refusal_cause: "",
         };
-        self.legs.insert(id, leg);
-        self.leg_of.insert((controller, call), id);
-        if let Some(parent) = parent.and_then(|p| self.legs.get_mut(&p)) {
-            parent.child = Some(id);
+        self.legs.insert(leg_id, leg);
+        self.latest_leg.insert((controller, call_id), leg_id);
+        if let Some(parent) = parent_leg.and_then(|p| self.legs.get_mut(&p)) {
+            parent.child_leg = Some(leg_id);
         }
-        if !self.nodes[controller].alive {
-            return self.respond(id, 480, "overload");
+        if !self.processors[controller].alive {
+            return self.respond(leg_id, 480, "overload");
         }
         if node != destination && !self.script.groups.transit {
-            return self.respond(id, 503, "turned_back");
+            return self.respond(leg_id, 503, "turned_back");
         }
         if node == controller || self.network.group(controller, node).free() < width {
-            return self.respond(id, 480, "no_circuit");
+            return self.respond(leg_id, 480, "no_circuit");
         }
-        self.network.group_mut(controller, node).used += width;
-        if let Some(leg) = self.legs.get_mut(&id) {
-            leg.seized = true;
+        self.network.group_mut(controller, node).in_use += width;
+        if let Some(leg) = self.legs.get_mut(&leg_id) {
+            leg.holds_circuits = true;
         }
-        self.tell_groups(controller, node);
-        if self.full(controller) {
-            return self.respond(id, 503, "overload");
+        self.notify_group_to_both_ends(controller, node);
+        if self.reject_if_overloaded(controller) {
+            return self.respond(leg_id, 503, "overload");
         }
-        self.job(controller, 1.0, What::OwnSetUp(id));
+        self.enqueue_job(controller, 1.0, JobKind::OriginSetUp(leg_id));
         let after = seconds_to_nanos(self.script.processor.repeat_after.0);
         if after > 0 {
-            self.later(after, Due::Repeat(id, 2 * after));
+            self.schedule_in(after, Event::RetransmitSetUp(leg_id, 2 * after));
         }
     }
 
-    /// A set-up that waits is sent again by the network, and each repeat is work where it waits.
-    pub(super) fn repeat(&mut self, leg: u64, gap: Nanos) {
-        let Some(l) = self.legs.get(&leg).filter(|l| l.state == State::Setting && !l.reached) else { return };
-        if self.now >= l.until {
+    /// Retransmits an unprocessed set-up, which costs the target node work, and schedules the next retransmission.
+    pub(super) fn retransmit_set_up(&mut self, leg_id: u64, gap: Nanos) {
+        let Some(leg) =
+            self.legs.get(&leg_id).filter(|leg| leg.state == LegState::SettingUp && !leg.processed_at_target)
+        else {
+            return;
+        };
+        if self.now >= leg.deadline {
             return;
         }
-        let to = l.to;
-        self.job(to, self.script.processor.repeat.0, What::Other);
-        self.later(gap, Due::Repeat(leg, 2 * gap));
+        let to = leg.target_node;
+        self.enqueue_job(to, self.script.processor.repeat.0, JobKind::Other);
+        self.schedule_in(gap, Event::RetransmitSetUp(leg_id, 2 * gap));
     }
 
-    pub(super) fn reached(&mut self, leg: u64) {
-        if let Some(l) = self.legs.get_mut(&leg) {
-            l.reached = true;
+    pub(super) fn mark_processed(&mut self, leg_id: u64) {
+        if let Some(leg) = self.legs.get_mut(&leg_id) {
+            leg.processed_at_target = true;
         }
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // A set-up on its way
-    // -----------------------------------------------------------------------------------------------------
-
-    pub(super) fn leg_arrives(&mut self, leg: u64) {
-        let Some(l) = self.legs.get(&leg).filter(|l| l.state == State::Setting) else { return };
-        let (to, from, machine) = (l.to, l.controller, l.machine);
-        if !self.nodes[to].alive || self.serving[to] != machine && self.machines[machine].reach != Reach::Up {
-            return; // lost
+    pub(super) fn set_up_arrives(&mut self, leg_id: u64) {
+        let Some(leg) = self.legs.get(&leg_id).filter(|leg| leg.state == LegState::SettingUp) else { return };
+        let (to, from, machine) = (leg.target_node, leg.controller, leg.machine);
+        if !self.processors[to].alive
+            || self.machine_of_node[to] != machine
+                && self.machines[machine].connect_outcome != ConnectOutcome::Accepted
+        {
+            return; // the set-up is lost
         }
-        if self.cold_set_up(to, from) {
-            return self.fall_over(to);
+        if self.record_cold_set_up(to, from) {
+            return self.fail_cold_node(to);
         }
-        if self.full(to) {
+        if self.reject_if_overloaded(to) {
             let delay = self.delay(to, from);
-            return self.later(delay, Due::Refused(leg, "overload", 503));
+            return self.schedule_in(delay, Event::RefusalArrives(leg_id, "overload", 503));
         }
-        let l = &self.legs[&leg];
-        if l.destination == to {
-            self.job(to, 1.0, What::FarSetUp(leg));
+        let leg = &self.legs[&leg_id];
+        if leg.destination == to {
+            self.enqueue_job(to, 1.0, JobKind::DestinationSetUp(leg_id));
         } else {
-            self.job(to, self.script.processor.look.0, What::Transit(leg));
+            self.enqueue_job(to, self.script.processor.look.0, JobKind::TandemSetUp(leg_id));
         }
     }
 
-    fn fall_over(&mut self, node: usize) {
-        let machine = self.serving[node];
-        let from: Vec<usize> = self.nodes[node].lately.iter().map(|(_, c)| *c).collect();
-        self.auditor.cold_processor_crashed(self.now, machine, node, &from);
-        self.nodes[node].fallen = true;
-        self.stop_node(node, Reach::Refused);
-        let late = self.script.journal.silent;
-        self.tell_journals(machine, "DELETED", late);
+    fn fail_cold_node(&mut self, node: usize) {
+        let machine = self.machine_of_node[node];
+        let senders: Vec<usize> = self.processors[node].recent_cold_set_ups.iter().map(|(_, c)| *c).collect();
+        self.auditor.cold_processor_crashed(self.now, machine, node, &senders);
+        self.processors[node].failed_cold = true;
+        self.stop_node(node, ConnectOutcome::Refused);
+        let delay_range = self.script.journal.silent;
+        self.publish_machine_state(machine, "DELETED", delay_range);
     }
 
-    /// A call in transit: the node's own controller gets it.
-    pub(super) fn hand_over(&mut self, leg: u64) {
-        let l = &self.legs[&leg];
-        let (node, until) = (l.to, l.until);
-        if !self.running[node] || !self.takes_callers(node) || self.now >= until {
-            return self.turn_back(leg);
+    /// Offers a call in transit to the tandem's own controller.
+    pub(super) fn offer_in_transit(&mut self, leg_id: u64) {
+        let leg = &self.legs[&leg_id];
+        let (node, until) = (leg.target_node, leg.deadline);
+        if !self.running[node] || !self.is_reachable_by_callers(node) || self.now >= until {
+            return self.turn_back(leg_id);
         }
         let id = self.rng.random::<u64>().max(1);
-        let l = self.legs.get_mut(&leg).expect("known above");
-        (l.transit, l.reached) = (Some(id), true);
-        let l = &self.legs[&leg];
-        let figures = format!("dest:{};width:{};via:{};transit:1", l.destination, l.width, l.controller);
-        let (number, description) = (l.number.clone(), l.description.clone());
-        let what = (l.class, l.destination, until - self.now);
-        self.offer(node, id, Owner::Transit(leg), what, &number, &figures, &description);
+        let leg = self.legs.get_mut(&leg_id).expect("known above");
+        (leg.transit_call_id, leg.processed_at_target) = (Some(id), true);
+        let leg = &self.legs[&leg_id];
+        let attributes =
+            format!("dest:{};width:{};via:{};transit:1", leg.destination, leg.width, leg.controller);
+        let (number, description) = (leg.number.clone(), leg.description.clone());
+        let routing = (leg.class, leg.destination, until - self.now);
+        self.offer_call(node, id, CallOwner::Transit(leg_id), routing, &number, &attributes, &description);
     }
 
-    fn turn_back(&mut self, leg: u64) {
-        self.later(0, Due::Refused(leg, "turned_back", 503));
+    fn turn_back(&mut self, leg_id: u64) {
+        self.schedule_in(0, Event::RefusalArrives(leg_id, "turned_back", 503));
     }
 
-    /// The controller of a tandem has answered the call in transit.
-    pub(super) fn child_answered(&mut self, leg: u64, description: &[u8]) {
-        let Some(l) = self.legs.get_mut(&leg).filter(|l| l.state == State::Setting) else { return };
-        l.answer = description.to_vec();
-        let (a, b) = (l.to, l.controller);
-        let delay = self.delay(a, b);
-        self.later(delay, Due::Answered(leg));
+    /// Handles the answer of a tandem's controller to a call in transit.
+    pub(super) fn child_answered(&mut self, leg_id: u64, description: &[u8]) {
+        let Some(leg) = self.legs.get_mut(&leg_id).filter(|leg| leg.state == LegState::SettingUp) else {
+            return;
+        };
+        leg.answer = description.to_vec();
+        let (from, to) = (leg.target_node, leg.controller);
+        let delay = self.delay(from, to);
+        self.schedule_in(delay, Event::AnswerArrives(leg_id));
     }
 
-    /// It has refused it: the call goes back.
-    pub(super) fn child_refused(&mut self, leg: u64) {
-        let Some(l) = self.legs.get(&leg) else { return };
-        let full = l.child.and_then(|c| self.legs.get(&c)).is_some_and(|c| c.refused_by == "overload");
-        let (a, b) = (l.to, l.controller);
-        let delay = self.delay(a, b);
-        self.later(delay, Due::Refused(leg, if full { "far_overload" } else { "turned_back" }, 503));
+    /// Handles a refusal by a tandem's controller: the call is turned back.
+    pub(super) fn child_refused(&mut self, leg_id: u64) {
+        let Some(leg) = self.legs.get(&leg_id) else { return };
+        let overloaded =
+            leg.child_leg.and_then(|c| self.legs.get(&c)).is_some_and(|c| c.refusal_cause == "overload");
+        let (from, to) = (leg.target_node, leg.controller);
+        let delay = self.delay(from, to);
+        self.schedule_in(
+            delay,
+            Event::RefusalArrives(leg_id, if overloaded { "far_overload" } else { "turned_back" }, 503),
+        );
     }
 
-    /// It has died: the set-up broke on its way.
-    pub(super) fn child_broke(&mut self, leg: u64) {
-        if let Some(l) = self.legs.get(&leg) {
-            let (a, b) = (l.to, l.controller);
-            let delay = self.delay(a, b);
-            self.later(delay, Due::Refused(leg, "", 504));
+    /// Handles the loss of a call in transit with the connection to the tandem's controller.
+    pub(super) fn child_failed(&mut self, leg_id: u64) {
+        if let Some(leg) = self.legs.get(&leg_id) {
+            let (from, to) = (leg.target_node, leg.controller);
+            let delay = self.delay(from, to);
+            self.schedule_in(delay, Event::RefusalArrives(leg_id, "", 504));
         }
     }
 
-    pub(super) fn leg_refused(&mut self, leg: u64, cause: &'static str, code: u16) {
-        if self.legs.get(&leg).is_some_and(|l| l.state == State::Setting) {
-            self.respond(leg, code, cause);
+    pub(super) fn refusal_arrives(&mut self, leg_id: u64, cause: &'static str, code: u16) {
+        if self.legs.get(&leg_id).is_some_and(|leg| leg.state == LegState::SettingUp) {
+            self.respond(leg_id, code, cause);
         }
     }
 
-    pub(super) fn answer_comes_back(&mut self, leg: u64) {
-        let Some(l) = self.legs.get(&leg).filter(|l| l.state == State::Setting) else { return };
-        let own = l.controller;
-        self.job(own, self.script.processor.answer.0, What::OwnAnswer(leg));
+    pub(super) fn answer_arrives(&mut self, leg_id: u64) {
+        let Some(leg) = self.legs.get(&leg_id).filter(|leg| leg.state == LegState::SettingUp) else { return };
+        let origin = leg.controller;
+        self.enqueue_job(origin, self.script.processor.answer.0, JobKind::OriginAnswer(leg_id));
     }
 
-    /// The final response to a set-up that does not stand.
-    fn respond(&mut self, leg: u64, code: u16, cause: &'static str) {
-        let Some(l) = self.legs.get_mut(&leg) else { return };
-        (l.state, l.refused_by) = (State::Over, cause);
-        let (wire, call, sequence, controller) = (l.wire, l.call, l.sequence, l.controller);
-        if self.arrives(wire) {
+    /// Sends the final response to a failed set-up.
+    fn respond(&mut self, leg_id: u64, code: u16, cause: &'static str) {
+        let Some(leg) = self.legs.get_mut(&leg_id) else { return };
+        (leg.state, leg.refusal_cause) = (LegState::Ended, cause);
+        let (connection_id, call_id, sequence, controller) =
+            (leg.connection_id, leg.call_id, leg.sequence, leg.controller);
+        if self.delivers_eventually(connection_id) {
             self.auditor.observe(
                 self.now,
-                Observation::ResponseFromNode { controller, id: call, code, cause, description: b"" },
+                Observation::ResponseFromNode { controller, id: call_id, code, cause, description: b"" },
             );
         }
-        let mut out = Vec::new();
-        let further = if cause.is_empty() { String::new() } else { format!("X-Cause: {cause}\r\n") };
-        say(&mut out, format_args!("SIP/2.0 {code} No"), call, (sequence, "INVITE"), &further, b"");
-        self.send(wire, &out);
-        self.free_circuits(leg);
-    }
-
-    pub(super) fn stands(&mut self, leg: u64) {
-        let Some(l) = self.legs.get_mut(&leg).filter(|l| l.state == State::Setting) else { return };
-        l.state = State::Stands;
-        let (wire, call, sequence, controller) = (l.wire, l.call, l.sequence, l.controller);
-        let answer = std::mem::take(&mut l.answer);
-        let mut out = Vec::new();
-        say(&mut out, format_args!("SIP/2.0 200 OK"), call, (sequence, "INVITE"), "", &answer);
-        let spoilt = self.spoils[self.legs[&leg].to] > 0 && self.rng.random_bool(SPOILT);
-        if spoilt && self.rng.random_bool(0.5) {
-            // It has run; what is left of it is nobody's.
-            out.truncate(out.len() / 2);
-            self.send(wire, &out);
-            return self.call_off(leg);
+        let mut output = Vec::new();
+        let extra_headers = if cause.is_empty() { String::new() } else { format!("X-Cause: {cause}\r\n") };
+        write_sip(
+            &mut output,
+            format_args!("SIP/2.0 {code} No"),
+            call_id,
+            (sequence, "INVITE"),
+            &extra_headers,
+            b"",
+        );
+        self.send(connection_id, &output);
+        self.free_circuits(leg_id);
+    }
+
+    pub(super) fn complete_set_up(&mut self, leg_id: u64) {
+        let Some(leg) = self.legs.get_mut(&leg_id).filter(|leg| leg.state == LegState::SettingUp) else {
+            return;
+        };
+        leg.state = LegState::Stands;
+        let (connection_id, call_id, sequence, controller) =
+            (leg.connection_id, leg.call_id, leg.sequence, leg.controller);
+        let answer = std::mem::take(&mut leg.answer);
+        let mut output = Vec::new();
+        write_sip(&mut output, format_args!("SIP/2.0 200 OK"), call_id, (sequence, "INVITE"), "", &answer);
+        let faulty = self.active_answer_faults[self.legs[&leg_id].target_node] > 0
+            && self.rng.random_bool(ANSWER_FAULT_PROBABILITY);
+        if faulty && self.rng.random_bool(0.5) {
+            // The connection is unusable after half a message, so the call at the node is cancelled.
+            output.truncate(output.len() / 2);
+            self.send(connection_id, &output);
+            return self.cancel_leg(leg_id);
         }
         let seen = Observation::ResponseFromNode {
             controller,
-            id: call,
+            id: call_id,
             code: 200,
             cause: "",
             description: &answer,
         };
-        if self.arrives(wire) {
+        if self.delivers_eventually(connection_id) {
             self.auditor.observe(self.now, seen);
         }
-        self.send(wire, &out);
-        if spoilt {
-            self.later(SECOND_COPY, Due::Bytes(wire, out));
+        self.send(connection_id, &output);
+        if faulty {
+            self.schedule_in(DUPLICATE_ANSWER_DELAY, Event::SendBytes(connection_id, output));
         }
     }
 
-    /// A set-up is given up: it is called off where it is, and its circuits are free a little later.
-    fn call_off(&mut self, leg: u64) {
-        let Some(l) = self.legs.get_mut(&leg) else { return };
-        l.state = State::Over;
-        let (a, b) = (l.controller, l.to);
-        let delay = self.delay(a, b);
-        self.later(delay, Due::Cancelled(leg));
-        self.later(seconds_to_nanos(self.script.groups.frees_after.0), Due::Freed(leg));
+    /// Ends a leg in set-up: the target node receives a cancel, and the circuits become free after a delay.
+    fn cancel_leg(&mut self, leg_id: u64) {
+        let Some(leg) = self.legs.get_mut(&leg_id) else { return };
+        leg.state = LegState::Ended;
+        let (from, to) = (leg.controller, leg.target_node);
+        let delay = self.delay(from, to);
+        self.schedule_in(delay, Event::CancelArrives(leg_id));
+        self.schedule_in(seconds_to_nanos(self.script.groups.frees_after.0), Event::FreeCircuits(leg_id));
     }
 
-    pub(super) fn cancel_arrives(&mut self, leg: u64) {
-        let Some((node, Some(id))) = self.legs.get(&leg).map(|l| (l.to, l.transit)) else { return };
+    pub(super) fn cancel_arrives(&mut self, leg_id: u64) {
+        let Some((node, Some(id))) = self.legs.get(&leg_id).map(|leg| (leg.target_node, leg.transit_call_id))
+        else {
+            return;
+        };
         self.release_transit(node, id);
     }
 
-    // -----------------------------------------------------------------------------------------------------
-    // Circuits and ends
-    // -----------------------------------------------------------------------------------------------------
-
-    pub(super) fn free_circuits(&mut self, leg: u64) {
-        let Some(l) = self.legs.get_mut(&leg) else { return };
-        if l.seized {
-            l.seized = false;
-            let (a, b, width) = (l.controller, l.to, l.width);
-            let group = self.network.group_mut(a, b);
-            group.used = group.used.saturating_sub(width);
-            self.tell_groups(a, b);
+    pub(super) fn free_circuits(&mut self, leg_id: u64) {
+        let Some(leg) = self.legs.get_mut(&leg_id) else { return };
+        if leg.holds_circuits {
+            leg.holds_circuits = false;
+            let (from, to, width) = (leg.controller, leg.target_node, leg.width);
+            let group = self.network.group_mut(from, to);
+            group.in_use = group.in_use.saturating_sub(width);
+            self.notify_group_to_both_ends(from, to);
         }
-        // What crosses its end on the way still finds it.
-        if self.legs[&leg].state == State::Over {
-            self.later(FORGOTTEN_AFTER, Due::Forget(leg));
+        // Messages that cross the end of the leg still find it.
+        if self.legs[&leg_id].state == LegState::Ended {
+            self.schedule_in(LEG_RETENTION, Event::ExpireLeg(leg_id));
         }
     }
 
-    fn tell_groups(&mut self, a: usize, b: usize) {
-        self.tell_group(a, b);
-        self.tell_group(b, a);
+    fn notify_group_to_both_ends(&mut self, a: usize, b: usize) {
+        self.notify_group(a, b);
+        self.notify_group(b, a);
     }
 
-    /// Tells a controller the state of its group to a node.
-    pub(super) fn tell_group(&mut self, controller: usize, node: usize) {
-        let machine = self.serving[node];
-        let Some(wire) = self.machines[machine].wires.get(&controller).and_then(|w| w.last()).copied() else {
+    /// Sends a controller the state of its trunk group to a node.
+    pub(super) fn notify_group(&mut self, controller: usize, node: usize) {
+        let machine = self.machine_of_node[node];
+        let Some(connection_id) =
+            self.machines[machine].connections.get(&controller).and_then(|ids| ids.last()).copied()
+        else {
             return;
         };
         let group = self.network.group(controller, node);
-        let further = format!("X-Group: spare:{};total:{}\r\n", group.free(), group.size);
-        let mut out = Vec::new();
-        say(&mut out, format_args!("NOTIFY sip:group@net SIP/2.0"), 0, (1, "NOTIFY"), &further, b"");
-        self.send(wire, &out);
-    }
-
-    /// Says the releases that a machine could not say while it was cut off.
-    pub(super) fn say_what_was_unsaid(&mut self, machine: usize) {
-        for (controller, unsaid) in std::mem::take(&mut self.machines[machine].unsaid) {
-            for (id, cause) in unsaid {
-                self.say_release(controller, machine, id, cause);
+        let extra_headers = format!("X-Group: spare:{};total:{}\r\n", group.free(), group.size);
+        let mut output = Vec::new();
+        write_sip(
+            &mut output,
+            format_args!("NOTIFY sip:group@net SIP/2.0"),
+            0,
+            (1, "NOTIFY"),
+            &extra_headers,
+            b"",
+        );
+        self.send(connection_id, &output);
+    }
+
+    /// Sends the releases that a machine could not send while it was partitioned.
+    pub(super) fn send_unsent_releases(&mut self, machine: usize) {
+        for (controller, unsent_releases) in std::mem::take(&mut self.machines[machine].unsent_releases) {
+            for (id, cause) in unsent_releases {
+                self.send_release(controller, machine, id, cause);
             }
         }
     }
 
-    fn say_release(&mut self, controller: usize, machine: usize, id: u64, cause: u8) {
-        let wires = self.machines[machine].wires.get(&controller).map_or(&[][..], |w| w);
-        let set_up_on = self.leg_of.get(&(controller, id)).and_then(|leg| self.legs.get(leg)).map(|l| l.wire);
-        // The connection of its set-up, or else any open one.
-        let own = wires.iter().find(|w| Some(**w) == set_up_on).or(wires.last()).copied();
-        let Some(wire) = own.filter(|w| self.passes(*w)) else {
+    fn send_release(&mut self, controller: usize, machine: usize, id: u64, cause: u8) {
+        let connections = self.machines[machine].connections.get(&controller).map_or(&[][..], |ids| ids);
+        let set_up_on = self
+            .latest_leg
+            .get(&(controller, id))
+            .and_then(|leg_id| self.legs.get(leg_id))
+            .map(|leg| leg.connection_id);
+        // Prefer the connection of the set-up, otherwise use the latest open one.
+        let own = connections.iter().find(|id| Some(**id) == set_up_on).or(connections.last()).copied();
+        let Some(connection_id) = own.filter(|id| self.delivers_now(*id)) else {
             let m = &mut self.machines[machine];
-            return m.unsaid.entry(controller).or_default().push((id, cause));
+            return m.unsent_releases.entry(controller).or_default().push((id, cause));
         };
-        self.machines[machine].unanswered.insert(id, (wire, cause));
+        self.machines[machine].unacknowledged_releases.insert(id, (connection_id, cause));
         self.auditor.observe(self.now, Observation::ByeFromNode { controller, id, cause });
-        let further = format!("Reason: Q.850;cause={cause}\r\n");
-        let mut out = Vec::new();
-        say(&mut out, format_args!("BYE sip:call@net SIP/2.0"), id, (2, "BYE"), &further, b"");
-        self.send(wire, &out);
+        let extra_headers = format!("Reason: Q.850;cause={cause}\r\n");
+        let mut output = Vec::new();
+        write_sip(&mut output, format_args!("BYE sip:call@net SIP/2.0"), id, (2, "BYE"), &extra_headers, b"");
+        self.send(connection_id, &output);
     }
 
-    fn root(&self, mut leg: u64) -> u64 {
-        while let Some(parent) = self.legs.get(&leg).and_then(|l| l.parent) {
-            leg = parent;
+    fn first_leg(&self, mut leg_id: u64) -> u64 {
+        while let Some(parent) = self.legs.get(&leg_id).and_then(|leg| leg.parent_leg) {
+            leg_id = parent;
         }
-        leg
+        leg_id
     }
 
-    /// A call that stands ends: all its legs are released, from one end to the other.
-    pub(super) fn release_chain(&mut self, leg: u64, cause: u8) {
-        let mut next = Some(self.root(leg));
+    /// Ends a standing call by releasing all its legs, beginning at the caller's end.
+    pub(super) fn release_chain(&mut self, leg_id: u64, cause: u8) {
+        let mut next = Some(self.first_leg(leg_id));
         while let Some(id) = next {
-            let Some(l) = self.legs.get_mut(&id) else { return };
-            next = l.child;
-            if l.state != State::Stands {
-                if l.state == State::Setting {
-                    self.call_off(id);
+            let Some(leg) = self.legs.get_mut(&id) else { return };
+            next = leg.child_leg;
+            if leg.state != LegState::Stands {
+                if leg.state == LegState::SettingUp {
+                    self.cancel_leg(id);
                 }
                 continue;
             }
-            l.state = State::Over;
-            let (own, to, machine, call, transit) = (l.controller, l.to, l.machine, l.call, l.transit);
-            if let Some(transit) = transit {
-                self.callers.sides.remove(&(to, transit));
+            leg.state = LegState::Ended;
+            let (origin, to, machine, call_id, transit_call_id) =
+                (leg.controller, leg.target_node, leg.machine, leg.call_id, leg.transit_call_id);
+            if let Some(transit_call_id) = transit_call_id {
+                self.callers.offered_calls.remove(&(to, transit_call_id));
             }
-            for node in [own, to] {
-                self.job(node, self.script.processor.answer.0, What::Other);
+            for node in [origin, to] {
+                self.enqueue_job(node, self.script.processor.answer.0, JobKind::Other);
             }
-            if self.machines[machine].reach == Reach::Up {
-                self.say_release(own, machine, call, cause);
+            if self.machines[machine].connect_outcome == ConnectOutcome::Accepted {
+                self.send_release(origin, machine, call_id, cause);
             }
-            self.auditor.observe(self.now, Observation::CallEndedAtNode { controller: own, id: call });
+            self.auditor.observe(self.now, Observation::CallEndedAtNode { controller: origin, id: call_id });
             self.free_circuits(id);
         }
     }
 
-    /// A call that stands is cut.
-    pub(super) fn cut(&mut self, leg: u64) {
-        let root = self.root(leg);
-        let Some(l) = self.legs.get(&root) else { return };
-        let side = (l.controller, l.call);
-        self.release_chain(root, 41);
-        if let Some(Owner::Caller(intent)) = self.callers.sides.get(&side).map(|s| s.owner) {
-            if self.intents.get(&intent).is_some_and(|i| i.stood.is_some()) {
-                self.call_cut(intent);
+    /// Cuts a standing call and reports the cut to its caller.
+    pub(super) fn cut_call(&mut self, leg_id: u64) {
+        let first_leg = self.first_leg(leg_id);
+        let Some(leg) = self.legs.get(&first_leg) else { return };
+        let call_key = (leg.controller, leg.call_id);
+        self.release_chain(first_leg, 41);
+        if let Some(CallOwner::Caller(intent_id)) = self.callers.offered_calls.get(&call_key).map(|s| s.owner)
+        {
+            if self.intents.get(&intent_id).is_some_and(|intent| intent.stands_since.is_some()) {
+                self.handle_cut_call(intent_id);
             }
         }
     }
 
-    fn released_by_controller(&mut self, controller: usize, id: u64) {
-        let Some(leg) = self.leg_of.get(&(controller, id)).copied() else { return };
-        let Some(l) = self.legs.get_mut(&leg).filter(|l| l.state == State::Stands) else { return };
-        l.state = State::Over;
-        let (to, transit) = (l.to, l.transit);
+    fn handle_controller_release(&mut self, controller: usize, id: u64) {
+        let Some(leg_id) = self.latest_leg.get(&(controller, id)).copied() else { return };
+        let Some(leg) = self.legs.get_mut(&leg_id).filter(|leg| leg.state == LegState::Stands) else {
+            return;
+        };
+        leg.state = LegState::Ended;
+        let (to, transit_call_id) = (leg.target_node, leg.transit_call_id);
         for node in [controller, to] {
-            self.job(node, self.script.processor.answer.0, What::Other);
+            self.enqueue_job(node, self.script.processor.answer.0, JobKind::Other);
         }
-        self.free_circuits(leg);
-        if let Some(transit) = transit {
-            self.release_transit(to, transit);
+        self.free_circuits(leg_id);
+        if let Some(transit_call_id) = transit_call_id {
+            self.release_transit(to, transit_call_id);
         }
     }
 
-    /// Legs on a group that stand.
-    pub(super) fn standing_between(&self, a: usize, b: usize) -> Vec<u64> {
-        let here = |l: &Leg| {
-            l.state == State::Stands && (l.controller, l.to) == (a, b) || (l.controller, l.to) == (b, a)
+    /// Returns the standing legs on a trunk group.
+    pub(super) fn standing_legs_between(&self, a: usize, b: usize) -> Vec<u64> {
+        let on_group = |leg: &Leg| {
+            leg.state == LegState::Stands && (leg.controller, leg.target_node) == (a, b)
+                || (leg.controller, leg.target_node) == (b, a)
         };
-        self.legs.iter().filter(|(_, l)| here(l) && l.state == State::Stands).map(|(id, _)| *id).collect()
-    }
-
-    /// A node's processor stops: its work is lost, its calls are cut, its connections end as `reach` says.
-    pub(super) fn stop_node(&mut self, node: usize, reach: Reach) {
-        self.book_work(node);
-        let n = &mut self.nodes[node];
-        n.alive = false;
-        n.pending = 0.0;
-        n.lately.clear();
-        for job in std::mem::take(&mut n.line) {
+        self.legs
+            .iter()
+            .filter(|(_, leg)| on_group(leg) && leg.state == LegState::Stands)
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// Stops a node's processor: queued work is lost and calls are cut. Open connections are closed, or silenced if
+    /// connecting now times out.
+    pub(super) fn stop_node(&mut self, node: usize, connect_outcome: ConnectOutcome) {
+        self.suspend_current_job(node);
+        let processor = &mut self.processors[node];
+        processor.alive = false;
+        processor.queued_work = 0.0;
+        processor.recent_cold_set_ups.clear();
+        for job in std::mem::take(&mut processor.queue) {
             self.jobs.remove(&job);
         }
-        let machine = self.serving[node];
-        self.machines[machine].reach = reach;
-        let touched: Vec<u64> = self
+        let machine = self.machine_of_node[node];
+        self.machines[machine].connect_outcome = connect_outcome;
+        let affected_legs: Vec<u64> = self
             .legs
             .iter()
-            .filter(|(_, l)| l.controller == node || l.to == node)
+            .filter(|(_, leg)| leg.controller == node || leg.target_node == node)
             .map(|(id, _)| *id)
             .collect();
-        for leg in touched {
-            match self.legs.get(&leg).map(|l| (l.state, l.controller)) {
-                Some((State::Stands, _)) => self.cut(leg),
-                Some((State::Setting, own)) if own == node => self.respond(leg, 504, ""),
+        for leg_id in affected_legs {
+            match self.legs.get(&leg_id).map(|leg| (leg.state, leg.controller)) {
+                Some((LegState::Stands, _)) => self.cut_call(leg_id),
+                Some((LegState::SettingUp, origin)) if origin == node => self.respond(leg_id, 504, ""),
                 _ => {}
             }
         }
-        let wires: Vec<WireId> = self.machines[machine].wires.values().flatten().copied().collect();
-        for wire in wires {
-            if reach == Reach::Never {
-                if let Some(w) = self.wires.get_mut(&wire) {
-                    w.mute = true;
+        let connections: Vec<SimConnectionId> =
+            self.machines[machine].connections.values().flatten().copied().collect();
+        for connection_id in connections {
+            if connect_outcome == ConnectOutcome::TimesOut {
+                if let Some(connection) = self.connections.get_mut(&connection_id) {
+                    connection.silenced = true;
                 }
             } else {
-                self.hang_up(wire);
+                self.close_connection(connection_id);
             }
         }
     }
 
-    /// Open connections of controllers to a node.
-    pub(super) fn wires_to(&self, node: usize) -> Vec<WireId> {
-        self.machines[self.serving[node]].wires.values().flatten().copied().collect()
+    /// Returns the controllers' open connections to a node.
+    pub(super) fn connections_to(&self, node: usize) -> Vec<SimConnectionId> {
+        self.machines[self.machine_of_node[node]].connections.values().flatten().copied().collect()
     }
 }
