--- a/rehearsal/src/virtual_clock.rs
+++ b/rehearsal/src/virtual_clock.rs
@@ -18,8 +18,12 @@
 const NETWORK_LATENCY: Nanos = MS / 20;
 /// Upper limit of the tick, as in the real driver: a longer tick does not delay turns further.
 const MAX_TICK: Nanos = 10 * MS;
-/// Ports in the made-up addresses of endpoints: callers, journal, and the first machine.
-const PORTS: [u16; 3] = [1, 2, 16];
+/// Port of callers in the made-up addresses of endpoints.
+const CALLERS_PORT: u16 = 1;
+/// Port of the journal service.
+const JOURNAL_PORT: u16 = 2;
+/// Port of the first machine; the others follow in the order of their indices.
+const FIRST_MACHINE_PORT: u16 = 16;
 
 /// A controller under test: the engine, or a substitute that breaks a rule on purpose. The methods are those of
 /// [`Engine`].
@@ -114,18 +118,18 @@
 /// Returns the made-up address at which a controller reaches an endpoint.
 pub fn endpoint_address(controller: usize, endpoint: Endpoint) -> SocketAddr {
     let port = match endpoint {
-        Endpoint::Callers | Endpoint::BadCaller => PORTS[0],
-        Endpoint::Journal => PORTS[1],
-        Endpoint::Machine(m) => PORTS[2] + m as u16,
+        Endpoint::Callers | Endpoint::BadCaller => CALLERS_PORT,
+        Endpoint::Journal => JOURNAL_PORT,
+        Endpoint::Machine(m) => FIRST_MACHINE_PORT + m as u16,
     };
     (Ipv4Addr::new(127, 77, (controller / 250) as u8, (controller % 250) as u8), port).into()
 }
 
 fn endpoint_at(address: SocketAddr) -> Endpoint {
     match address.port() {
-        p if p == PORTS[0] => Endpoint::Callers,
-        p if p == PORTS[1] => Endpoint::Journal,
-        p => Endpoint::Machine(usize::from(p - PORTS[2])),
+        CALLERS_PORT => Endpoint::Callers,
+        JOURNAL_PORT => Endpoint::Journal,
+        port => Endpoint::Machine(usize::from(port - FIRST_MACHINE_PORT)),
     }
 }
 
@@ -138,11 +142,20 @@
 }
 
 enum Delivery {
-    /// For a controller, unless it has been restarted since: host, generation, content.
-    Inbound(usize, u32, Inbound),
+    /// For a controller, unless it has been restarted since, which increments the generation.
+    Inbound {
+        host: usize,
+        generation: u32,
+        inbound: Inbound,
+    },
     Bytes(SimConnectionId, Vec<u8>),
     Closed(SimConnectionId),
-    ConnectRequested(usize, u32, ConnId, Endpoint),
+    ConnectRequested {
+        host: usize,
+        generation: u32,
+        conn: ConnId,
+        endpoint: Endpoint,
+    },
 }
 
 #[derive(Default)]
@@ -226,24 +239,24 @@
         self.deliveries.push_back((self.now + NETWORK_LATENCY, delivery));
     }
 
-    fn schedule_inbound(&mut self, host: usize, what: Inbound) {
+    fn schedule_inbound(&mut self, host: usize, inbound: Inbound) {
         let generation = self.hosts[host].generation;
-        self.schedule_delivery(Delivery::Inbound(host, generation, what));
+        self.schedule_delivery(Delivery::Inbound { host, generation, inbound });
     }
 
     fn perform_actions(&mut self) -> Result<(), String> {
         while let Some(action) = self.world.poll_action() {
             match action {
-                Action::Connect(sim_connection, host) => {
+                Action::Connect { connection_id: sim_connection, controller: host } => {
                     self.schedule_inbound(host, Inbound::Accept(sim_connection))
                 }
-                Action::Send(sim_connection, controller, bytes) => {
+                Action::Send { connection_id: sim_connection, controller, bytes } => {
                     self.schedule_inbound(controller, Inbound::Bytes(sim_connection, bytes))
                 }
-                Action::Close(sim_connection, controller) => {
+                Action::Close { connection_id: sim_connection, controller } => {
                     self.schedule_inbound(controller, Inbound::Ended(sim_connection))
                 }
-                Action::StartController(host, config) => {
+                Action::StartController { controller: host, config } => {
                     let controller = (self.create_controller)(self.now, &config)?;
                     let host_state = &mut self.hosts[host];
                     let generation = host_state.generation + 1;
@@ -257,7 +270,10 @@
                     };
                     self.schedule_turn(host, self.now);
                 }
-                Action::SignalController(host, Signal::Terminate | Signal::Interrupt) => {
+                Action::SignalController {
+                    controller: host,
+                    signal: Signal::Terminate | Signal::Interrupt,
+                } => {
                     if let Some(controller) = &mut self.hosts[host].controller {
                         controller.begin_turn(self.now);
                         controller.shut_down();
@@ -265,11 +281,11 @@
                     self.schedule_turn(host, self.now);
                 }
                 // Controllers in this process read their configuration only at the start.
-                Action::SignalController(_, Signal::Reload) => {}
-                Action::ShutdownWrite(sim_connection, controller) => {
+                Action::SignalController { signal: Signal::Reload, .. } => {}
+                Action::ShutdownWrite { connection_id: sim_connection, controller } => {
                     self.schedule_inbound(controller, Inbound::Ended(sim_connection))
                 }
-                Action::KillController(host) => self.remove_controller(host),
+                Action::KillController { controller: host } => self.remove_controller(host),
             }
         }
         Ok(())
@@ -299,28 +315,30 @@
     fn deliver(&mut self, delivery: Delivery) {
         let now = self.now;
         match delivery {
-            Delivery::Inbound(host, generation, what) => {
+            Delivery::Inbound { host, generation, inbound } => {
                 if self.hosts[host].generation == generation && self.hosts[host].controller.is_some() {
-                    self.hosts[host].inbound.push_back(what);
+                    self.hosts[host].inbound.push_back(inbound);
                     self.schedule_turn(host, now);
-                } else if let Inbound::Accept(sim_connection) | Inbound::Connected(_, sim_connection) = what {
+                } else if let Inbound::Accept(sim_connection) | Inbound::Connected(_, sim_connection) =
+                    inbound
+                {
                     self.world.connection_closed(now, sim_connection); // the controller is gone
                 }
             }
             Delivery::Bytes(sim_connection, bytes) => self.world.bytes_received(now, sim_connection, &bytes),
             Delivery::Closed(sim_connection) => self.world.connection_closed(now, sim_connection),
-            Delivery::ConnectRequested(host, generation, conn, endpoint) => {
+            Delivery::ConnectRequested { host, generation, conn, endpoint } => {
                 if self.hosts[host].generation != generation {
                     return;
                 }
-                let what = match self.world.connect_outcome(host, endpoint) {
+                let inbound = match self.world.connect_outcome(host, endpoint) {
                     ConnectOutcome::Accepted => {
                         Inbound::Connected(conn, self.world.controller_connected(now, host, endpoint))
                     }
                     ConnectOutcome::Refused => Inbound::ConnectFailed(conn),
                     ConnectOutcome::TimesOut => return,
                 };
-                self.schedule_inbound(host, what);
+                self.schedule_inbound(host, inbound);
             }
         }
     }
@@ -329,8 +347,8 @@
         let Some(mut controller) = self.hosts[host].controller.take() else { return };
         self.hosts[host].last_turn = self.now;
         controller.begin_turn(self.now);
-        while let Some(what) = self.hosts[host].inbound.pop_front() {
-            self.handle_inbound(host, controller.as_mut(), what);
+        while let Some(inbound) = self.hosts[host].inbound.pop_front() {
+            self.handle_inbound(host, controller.as_mut(), inbound);
         }
         controller.handle_deadlines();
         let mut stopped = false;
@@ -365,8 +383,8 @@
         }
     }
 
-    fn handle_inbound(&mut self, host: usize, controller: &mut dyn Controller, what: Inbound) {
-        match what {
+    fn handle_inbound(&mut self, host: usize, controller: &mut dyn Controller, inbound: Inbound) {
+        match inbound {
             Inbound::Accept(sim_connection) => {
                 let conn = if self.hosts[host].listening { controller.accepted() } else { None };
                 let Some(conn) = conn else {
@@ -417,12 +435,12 @@
                 Output::Connect { conn, to } => {
                     self.hosts[host].connecting.insert(conn);
                     let generation = self.hosts[host].generation;
-                    self.schedule_delivery(Delivery::ConnectRequested(
+                    self.schedule_delivery(Delivery::ConnectRequested {
                         host,
                         generation,
                         conn,
-                        endpoint_at(to),
-                    ));
+                        endpoint: endpoint_at(to),
+                    });
                 }
                 Output::Close(conn) => {
                     self.hosts[host].connecting.remove(&conn);
--- a/rehearsal/src/wall_clock.rs
+++ b/rehearsal/src/wall_clock.rs
@@ -421,7 +421,7 @@
     fn perform_actions(&mut self) -> Result<(), String> {
         while let Some(action) = self.world.poll_action() {
             match action {
-                Action::Connect(connection, controller) => {
+                Action::Connect { connection_id: connection, controller } => {
                     let address = self.address_book.borrow_mut().address(controller, Endpoint::Callers);
                     let now = self.now();
                     match mio::net::TcpStream::connect(address) {
@@ -433,7 +433,7 @@
                         Err(_) => self.world.connection_closed(now, connection),
                     }
                 }
-                Action::Send(connection, _, bytes) => {
+                Action::Send { connection_id: connection, bytes, .. } => {
                     if let Some(socket) = self.sockets.get_mut(&connection) {
                         socket.unsent.extend(bytes);
                     }
@@ -442,19 +442,19 @@
                         self.remove_connection(now, connection);
                     }
                 }
-                Action::Close(connection, _) => {
+                Action::Close { connection_id: connection, .. } => {
                     self.flush(connection);
                     self.sockets.remove(&connection);
                 }
-                Action::StartController(controller, config) => self.start_process(controller, &config)?,
-                Action::SignalController(controller, signal) => self.send_signal(controller, signal)?,
-                Action::ShutdownWrite(connection, _) => {
+                Action::StartController { controller, config } => self.start_process(controller, &config)?,
+                Action::SignalController { controller, signal } => self.send_signal(controller, signal)?,
+                Action::ShutdownWrite { connection_id: connection, .. } => {
                     if let Some(socket) = self.sockets.get_mut(&connection) {
                         socket.shutdown_when_flushed = true;
                     }
                     self.flush(connection);
                 }
-                Action::KillController(controller) => {
+                Action::KillController { controller } => {
                     self.terminating[controller] = false;
                     if let Some(mut child) = self.processes.0[controller].take() {
                         child
--- a/rehearsal/src/world/bad_callers.rs
+++ b/rehearsal/src/world/bad_callers.rs
@@ -57,7 +57,7 @@
         if self.elapsed_seconds() >= ends {
             return;
         }
-        self.schedule_in(seconds_to_nanos(every), Event::BadCallerConnects(event_index, controller));
+        self.schedule_in(seconds_to_nanos(every), Event::BadCallerConnects { event_index, controller });
         if !self.running[controller] || !self.in_rotation[controller] {
             return;
         }
@@ -75,12 +75,12 @@
         };
         let connection_id = self.new_connection(controller, Endpoint::BadCaller, false);
         self.bad_callers.insert(connection_id, false);
-        self.actions.push_back(Action::Connect(connection_id, controller));
+        self.actions.push_back(Action::Connect { connection_id, controller });
         self.send(connection_id, &bytes);
         if misbehaviour == Misbehaviour::UnknownClassHalfClosed {
-            self.actions.push_back(Action::ShutdownWrite(connection_id, controller));
+            self.actions.push_back(Action::ShutdownWrite { connection_id, controller });
         }
-        self.schedule_in(RESPONSE_TIMEOUT, Event::BadCallerDeadline(connection_id));
+        self.schedule_in(RESPONSE_TIMEOUT, Event::BadCallerDeadline { connection_id });
     }
 
     /// Disconnects a bad caller at its deadline and reports it to the auditor if the controller has ignored it.
--- a/rehearsal/src/world/callers.rs
+++ b/rehearsal/src/world/callers.rs
@@ -140,7 +140,7 @@
         let draw: f64 = Exp1.sample(&mut self.callers.arrival_rngs[origin]);
         let gap = draw / rate.max(1e-9);
         self.callers.next_is_call[origin] = gap <= MAX_ARRIVAL_GAP_SECONDS;
-        self.schedule_in(seconds_to_nanos(gap.min(MAX_ARRIVAL_GAP_SECONDS)), Event::Arrival(origin));
+        self.schedule_in(seconds_to_nanos(gap.min(MAX_ARRIVAL_GAP_SECONDS)), Event::Arrival { node: origin });
     }
 
     pub(super) fn arrival(&mut self, origin: usize) {
@@ -221,7 +221,7 @@
         let longest_delivery = DeliveryMode::Pieces.duration();
         let grace =
             if self.script.callers.pieces.0 > 0.0 { ANSWER_GRACE + longest_delivery } else { ANSWER_GRACE };
-        self.schedule_in(wait + grace, Event::CallerTimeout(intent_id, tries));
+        self.schedule_in(wait + grace, Event::CallerTimeout { intent_id, tries });
     }
 
     /// Sends a set-up to a controller.
@@ -311,7 +311,7 @@
     /// Opens a connection for a single call.
     fn dedicated_connection(&mut self, controller: usize) -> SimConnectionId {
         let connection_id = self.new_connection(controller, Endpoint::Callers, false);
-        self.actions.push_back(Action::Connect(connection_id, controller));
+        self.actions.push_back(Action::Connect { connection_id, controller });
         connection_id
     }
 
@@ -328,14 +328,14 @@
         match delivery_mode {
             DeliveryMode::Pooled => {}
             DeliveryMode::HalfClosed => {
-                self.actions.push_back(Action::ShutdownWrite(connection_id, controller))
+                self.actions.push_back(Action::ShutdownWrite { connection_id, controller })
             }
             DeliveryMode::Pieces => {
                 let pieces = message.chunks(message.len().div_ceil(PIECE_COUNT as usize));
                 for (number, piece) in pieces.enumerate() {
                     self.schedule_in(
                         PIECE_INTERVAL * number as Nanos,
-                        Event::SendBytes(connection_id, piece.to_vec()),
+                        Event::SendBytes { connection_id, bytes: piece.to_vec() },
                     );
                 }
             }
@@ -368,7 +368,7 @@
         }
         let connection_id = self.new_connection(controller, Endpoint::Callers, false);
         self.callers.connection_pools[controller][slot] = Some(connection_id);
-        self.actions.push_back(Action::Connect(connection_id, controller));
+        self.actions.push_back(Action::Connect { connection_id, controller });
         connection_id
     }
 
@@ -387,21 +387,21 @@
     }
 
     /// Handles messages from a controller to callers. Returns false if they cannot be parsed.
-    pub(super) fn handle_caller_messages(&mut self, controller: usize, inbox: &mut ReadBuffer) -> bool {
+    pub(super) fn handle_caller_messages(&mut self, controller: usize, read_buffer: &mut ReadBuffer) -> bool {
         loop {
-            let (kind, id, cause, retry_after_ms, description, consumed) = match binary::parse(inbox.unread())
-            {
-                Err(_) => return false,
-                Ok(None) => return true,
-                Ok(Some((m, consumed))) => {
-                    let retry_after_ms = m
-                        .parameter(param::RETRY_AFTER_MS)
-                        .and_then(|p| std::str::from_utf8(p).ok()?.parse().ok());
-                    let description = m.parameter(param::DESCRIPTION).unwrap_or_default().to_vec();
-                    (m.kind, m.call_id, m.cause().unwrap_or(0), retry_after_ms, description, consumed)
-                }
-            };
-            inbox.consume(consumed);
+            let (kind, id, cause, retry_after_ms, description, consumed) =
+                match binary::parse(read_buffer.unread()) {
+                    Err(_) => return false,
+                    Ok(None) => return true,
+                    Ok(Some((m, consumed))) => {
+                        let retry_after_ms = m
+                            .parameter(param::RETRY_AFTER_MS)
+                            .and_then(|p| std::str::from_utf8(p).ok()?.parse().ok());
+                        let description = m.parameter(param::DESCRIPTION).unwrap_or_default().to_vec();
+                        (m.kind, m.call_id, m.cause().unwrap_or(0), retry_after_ms, description, consumed)
+                    }
+                };
+            read_buffer.consume(consumed);
             match kind {
                 kind::ANSWER => {
                     let description = &description;
@@ -437,7 +437,7 @@
                 if let Some(intent) = self.intents.get_mut(&intent_id) {
                     intent.stands_since = Some(self.now);
                     let hold = intent.hold_time;
-                    self.schedule_in(hold, Event::HoldTimeEnds(intent_id));
+                    self.schedule_in(hold, Event::HoldTimeEnds { intent_id });
                 }
             }
         }
@@ -508,7 +508,7 @@
             intent.first_try_at + seconds_to_nanos(self.script.classes[intent.class].deadline.0);
         if intent.tries <= self.script.callers.redials && self.now + pause < gives_up_at {
             self.statistics.record_redial();
-            self.schedule_in(pause, Event::Redial(intent_id));
+            self.schedule_in(pause, Event::Redial { intent_id });
         } else {
             self.record_outcome(intent_id, outcome);
         }
@@ -522,7 +522,7 @@
             (intent.was_cut, intent.stands_since, intent.tries, intent.first_try_at) =
                 (true, None, 0, self.now);
             let pause = seconds_to_nanos(self.script.callers.pause.0);
-            return self.schedule_in(pause, Event::Redial(intent_id));
+            return self.schedule_in(pause, Event::Redial { intent_id });
         }
         self.record_outcome(intent_id, CallOutcome::Cut);
     }
@@ -589,7 +589,7 @@
         connection_id: SimConnectionId,
         established: bool,
     ) {
-        self.schedule_in(RECONNECT_DELAY, Event::Reconnect(controller));
+        self.schedule_in(RECONNECT_DELAY, Event::Reconnect { controller });
         self.controller_starts[controller].connect_failed |= !established;
         let unanswered = |s: &OfferedCall| s.connection_id == connection_id && !s.stands;
         let call_range = (controller, 0)..=(controller, u64::MAX);
--- a/rehearsal/src/world/controllers.rs
+++ b/rehearsal/src/world/controllers.rs
@@ -27,9 +27,9 @@
             ControllerStart { at: self.now, connected: false, connect_failed: false };
         self.journal_services[controller].restart();
         let config = self.configuration(controller);
-        self.schedule_in(RECONNECT_DELAY, Event::Reconnect(controller));
-        self.schedule_in(READY_TIMEOUT, Event::ReadyDeadline(controller, self.now));
-        self.actions.push_back(Action::StartController(controller, config));
+        self.schedule_in(RECONNECT_DELAY, Event::Reconnect { controller });
+        self.schedule_in(READY_TIMEOUT, Event::ReadyDeadline { controller, started_at: self.now });
+        self.actions.push_back(Action::StartController { controller, config });
     }
 
     /// Reports a controller that has not become ready in time, if any caller tried to connect to it.
@@ -46,8 +46,8 @@
             return;
         }
         self.terminated_at[controller] = Some(self.now);
-        self.actions.push_back(Action::SignalController(controller, Signal::Terminate));
-        self.schedule_in(ROTATION_REMOVAL_DELAY, Event::LeaveRotation(controller));
+        self.actions.push_back(Action::SignalController { controller, signal: Signal::Terminate });
+        self.schedule_in(ROTATION_REMOVAL_DELAY, Event::LeaveRotation { controller });
     }
 
     /// Returns the time from SIGTERM to SIGKILL, the shortest that is allowed.
@@ -69,7 +69,7 @@
     pub(super) fn kill(&mut self, controller: usize) {
         self.running[controller] = false;
         self.in_rotation[controller] = false;
-        self.actions.push_back(Action::KillController(controller));
+        self.actions.push_back(Action::KillController { controller });
         let terminated_at = self.terminated_at[controller];
         self.auditor.observe(self.now, Observation::ControllerKilled { controller, terminated_at });
         self.close_all_connections(controller);
--- a/rehearsal/src/world/incidents.rs
+++ b/rehearsal/src/world/incidents.rs
@@ -66,12 +66,12 @@
             for (i, node) in nodes.into_iter().enumerate() {
                 self.schedule_at(
                     at + stagger * i as Nanos,
-                    Event::ScriptEventPhase(event_index, node, Phase::Begin),
+                    Event::ScriptEventPhase { event_index, node, phase: Phase::Begin },
                 );
                 if let Some(lasts) = event.lasts {
                     self.schedule_at(
                         at + seconds_to_nanos(lasts.0),
-                        Event::ScriptEventPhase(event_index, node, Phase::End),
+                        Event::ScriptEventPhase { event_index, node, phase: Phase::End },
                     );
                 }
             }
@@ -88,7 +88,7 @@
                     self.stop_node(node, ConnectOutcome::Refused);
                     self.schedule_in(
                         nanos_or_default(event.down, DEFAULT_DOWN_SECONDS),
-                        Event::ScriptEventPhase(event_index, node, Phase::Start),
+                        Event::ScriptEventPhase { event_index, node, phase: Phase::Start },
                     );
                 }
             }
@@ -103,7 +103,7 @@
                 self.publish_machine_state(machine, "DRAINING", delay_range);
                 self.schedule_in(
                     nanos_or_default(event.drain, DEFAULT_DRAIN_SECONDS),
-                    Event::ScriptEventPhase(event_index, node, Phase::Stop),
+                    Event::ScriptEventPhase { event_index, node, phase: Phase::Stop },
                 );
             }
             (EventKind::Replace | EventKind::Drain, Phase::Stop) => {
@@ -113,7 +113,7 @@
                 if event.kind == EventKind::Replace {
                     self.schedule_in(
                         nanos_or_default(event.down, DEFAULT_DOWN_SECONDS),
-                        Event::ScriptEventPhase(event_index, node, Phase::Start),
+                        Event::ScriptEventPhase { event_index, node, phase: Phase::Start },
                     );
                 }
             }
@@ -177,7 +177,7 @@
                     self.kill(node);
                     self.schedule_in(
                         nanos_or_default(event.down, DEFAULT_DOWN_SECONDS),
-                        Event::ScriptEventPhase(event_index, node, Phase::Start),
+                        Event::ScriptEventPhase { event_index, node, phase: Phase::Start },
                     );
                 }
             }
@@ -186,15 +186,22 @@
             (EventKind::ControllerRestarted, Phase::Begin) => {
                 self.terminate(node);
                 for (after, _) in REPEATED_SIGNALS {
-                    self.schedule_in(after, Event::ScriptEventPhase(event_index, node, Phase::Continue));
+                    self.schedule_in(
+                        after,
+                        Event::ScriptEventPhase { event_index, node, phase: Phase::Continue },
+                    );
                 }
-                self.schedule_in(self.kill_after(), Event::ScriptEventPhase(event_index, node, Phase::Stop));
+                self.schedule_in(
+                    self.kill_after(),
+                    Event::ScriptEventPhase { event_index, node, phase: Phase::Stop },
+                );
             }
             (EventKind::ControllerRestarted, Phase::Continue) => self.send_repeated_signal(node),
             (EventKind::ControllerRestarted, _) => self.kill_terminating(node),
             (EventKind::ControllerReloaded, _) => {
                 if self.running[node] {
-                    self.actions.push_back(Action::SignalController(node, Signal::Reload));
+                    self.actions
+                        .push_back(Action::SignalController { controller: node, signal: Signal::Reload });
                 }
             }
             (EventKind::CutOff, Phase::Begin) => {
@@ -241,7 +248,7 @@
         let Some(at) = self.terminated_at[node].filter(|_| self.running[node]) else { return };
         let latest = REPEATED_SIGNALS.iter().rev().find(|(after, _)| self.now >= at + after);
         if let Some((_, signal)) = latest {
-            self.actions.push_back(Action::SignalController(node, *signal));
+            self.actions.push_back(Action::SignalController { controller: node, signal: *signal });
         }
     }
 
@@ -281,11 +288,11 @@
                 self.processors[node].pause_events += 1;
                 self.schedule_in(
                     seconds_to_nanos(length.0),
-                    Event::ScriptEventPhase(event_index, node, Phase::Continue),
+                    Event::ScriptEventPhase { event_index, node, phase: Phase::Continue },
                 );
                 self.schedule_in(
                     seconds_to_nanos(every.0),
-                    Event::ScriptEventPhase(event_index, node, Phase::Begin),
+                    Event::ScriptEventPhase { event_index, node, phase: Phase::Begin },
                 );
             }
             Phase::Continue => {
--- a/rehearsal/src/world/journal.rs
+++ b/rehearsal/src/world/journal.rs
@@ -122,7 +122,7 @@
             let spread = UPDATE_SPREAD_SECONDS * self.rng.random::<f64>();
             self.schedule_in(
                 seconds_to_nanos(delay + spread),
-                Event::JournalUpdate(controller, change_index),
+                Event::JournalUpdate { controller, change_index },
             );
         }
     }
@@ -185,13 +185,13 @@
         &mut self,
         controller: usize,
         connection_id: SimConnectionId,
-        inbox: &mut ReadBuffer,
+        read_buffer: &mut ReadBuffer,
     ) -> bool {
-        let Some(end) = inbox.unread().windows(4).position(|window| window == b"\r\n\r\n") else {
+        let Some(end) = read_buffer.unread().windows(4).position(|window| window == b"\r\n\r\n") else {
             return true;
         };
-        let head = String::from_utf8_lossy(&inbox.unread()[..end]).into_owned();
-        inbox.consume(end + 4);
+        let head = String::from_utf8_lossy(&read_buffer.unread()[..end]).into_owned();
+        read_buffer.consume(end + 4);
         let request_line = head.lines().next().unwrap_or_default();
         let Some(query) =
             request_line.strip_prefix("GET /journal?").and_then(|l| l.strip_suffix(" HTTP/1.1"))
@@ -210,7 +210,7 @@
             Some(LongPoll { connection_id, poll_number, position, slow_answer: SlowAnswer::NotStarted });
         self.schedule_in(
             wait.min(MAX_WAIT_MS) * MS,
-            Event::PollTimeout(controller, connection_id, poll_number),
+            Event::PollTimeout { controller, connection_id, poll_number },
         );
         self.answer_poll(controller, false);
         true
@@ -253,7 +253,7 @@
             if poll.slow_answer == SlowAnswer::NotStarted {
                 self.schedule_in(
                     seconds_to_nanos(answer_seconds),
-                    Event::SlowAnswerReady(controller, poll_number),
+                    Event::SlowAnswerReady { controller, poll_number },
                 );
             }
             self.journal_services[controller].poll =
--- a/rehearsal/src/world/mod.rs
+++ b/rehearsal/src/world/mod.rs
@@ -65,19 +65,54 @@
 pub enum Action {
     /// Connect to a controller. The driver reports the result with [`World::connection_established`] or
     /// [`World::connection_closed`].
-    Connect(SimConnectionId, usize),
+    Connect {
+        /// Id of the connection.
+        connection_id: SimConnectionId,
+        /// Index of the controller at its other end.
+        controller: usize,
+    },
     /// Send bytes to the controller.
-    Send(SimConnectionId, usize, Vec<u8>),
+    Send {
+        /// Id of the connection.
+        connection_id: SimConnectionId,
+        /// Index of the controller at its other end.
+        controller: usize,
+        /// Bytes to send.
+        bytes: Vec<u8>,
+    },
     /// Close the connection.
-    Close(SimConnectionId, usize),
+    Close {
+        /// Id of the connection.
+        connection_id: SimConnectionId,
+        /// Index of the controller at its other end.
+        controller: usize,
+    },
     /// Shut down the sending direction, once the connection is established and its output is written.
-    ShutdownWrite(SimConnectionId, usize),
+    ShutdownWrite {
+        /// Id of the connection.
+        connection_id: SimConnectionId,
+        /// Index of the controller at its other end.
+        controller: usize,
+    },
     /// Start a controller with this configuration.
-    StartController(usize, String),
+    StartController {
+        /// Index of the controller.
+        controller: usize,
+        /// Content of its configuration file.
+        config: String,
+    },
     /// Send a signal to a controller. The driver reports its exit with [`World::controller_stopped`].
-    SignalController(usize, Signal),
+    SignalController {
+        /// Index of the controller.
+        controller: usize,
+        /// Signal to send.
+        signal: Signal,
+    },
     /// Kill a controller.
-    KillController(usize),
+    KillController {
+        /// Index of the controller.
+        controller: usize,
+    },
 }
 
 /// A signal to a controller.
@@ -113,7 +148,7 @@
     silenced: bool,
     /// Present while the network to the node is partitioned.
     partition_buffer: Option<PartitionBuffer>,
-    inbox: ReadBuffer,
+    read_buffer: ReadBuffer,
     /// Output queued until the connection is established.
     unsent: Vec<u8>,
 }
@@ -138,37 +173,103 @@
 /// A scheduled event of the simulation.
 #[derive(Clone, Debug)]
 enum Event {
-    Arrival(usize),
-    Redial(u64),
-    CallerTimeout(u64, u32),
-    HoldTimeEnds(u64),
-    JobCompleted(usize, u64),
-    SetUpArrives(u64),
-    RefusalArrives(u64, &'static str, u16),
-    AnswerArrives(u64),
-    RetransmitSetUp(u64, Nanos),
-    CancelArrives(u64),
-    FreeCircuits(u64),
-    ExpireLeg(u64),
-    JournalUpdate(usize, usize),
-    PollTimeout(usize, SimConnectionId, u64),
+    /// The next call of a node, or the time to draw its inter-arrival time again.
+    Arrival {
+        node: usize,
+    },
+    Redial {
+        intent_id: u64,
+    },
+    /// The caller gives up a try, identified by the number of tries so far.
+    CallerTimeout {
+        intent_id: u64,
+        tries: u32,
+    },
+    /// A standing call comes to its end.
+    HoldTimeEnds {
+        intent_id: u64,
+    },
+    JobCompleted {
+        node: usize,
+        job_generation: u64,
+    },
+    SetUpArrives {
+        leg_id: u64,
+    },
+    RefusalArrives {
+        leg_id: u64,
+        cause: &'static str,
+        code: u16,
+    },
+    AnswerArrives {
+        leg_id: u64,
+    },
+    /// The network retransmits an unprocessed set-up, and again after the next interval.
+    RetransmitSetUp {
+        leg_id: u64,
+        next_interval: Nanos,
+    },
+    CancelArrives {
+        leg_id: u64,
+    },
+    FreeCircuits {
+        leg_id: u64,
+    },
+    /// The retention time of an ended leg is over.
+    ExpireLeg {
+        leg_id: u64,
+    },
+    /// A journal service learns of a change of a machine, by its index among all changes.
+    JournalUpdate {
+        controller: usize,
+        change_index: usize,
+    },
+    /// The maximum wait of a long poll is over.
+    PollTimeout {
+        controller: usize,
+        connection_id: SimConnectionId,
+        poll_number: u64,
+    },
     AdviceSnapshot,
     TrafficDrift,
     Sample,
     /// The front end stops sending new connections to a terminating controller.
-    LeaveRotation(usize),
+    LeaveRotation {
+        controller: usize,
+    },
     /// Callers with standing calls reconnect to a controller.
-    Reconnect(usize),
+    Reconnect {
+        controller: usize,
+    },
     /// Deadline by which a controller started at that time has to accept connections.
-    ReadyDeadline(usize, Nanos),
+    ReadyDeadline {
+        controller: usize,
+        started_at: Nanos,
+    },
     /// A slow journal service has finished the answer to a long poll.
-    SlowAnswerReady(usize, u64),
+    SlowAnswerReady {
+        controller: usize,
+        poll_number: u64,
+    },
     /// Sends bytes on a connection, if it is still open.
-    SendBytes(SimConnectionId, Vec<u8>),
-    BadCallerConnects(usize, usize),
+    SendBytes {
+        connection_id: SimConnectionId,
+        bytes: Vec<u8>,
+    },
+    BadCallerConnects {
+        event_index: usize,
+        controller: usize,
+    },
     /// Deadline by which a bad caller has to be answered or disconnected.
-    BadCallerDeadline(SimConnectionId),
-    ScriptEventPhase(usize, usize, incidents::Phase),
+    BadCallerDeadline {
+        connection_id: SimConnectionId,
+    },
+    /// A script event reaches its next phase at a node.
+    ScriptEventPhase {
+        event_index: usize,
+        node: usize,
+        phase: incidents::Phase,
+    },
 }
 
 /// The simulated world of one rehearsal: state, event queue and pending actions.
@@ -376,20 +477,22 @@
 
     fn dispatch(&mut self, event: Event) {
         match event {
-            Event::Arrival(origin) => self.arrival(origin),
-            Event::Redial(intent_id) => self.dial(intent_id),
-            Event::CallerTimeout(intent_id, tries) => self.caller_times_out(intent_id, tries),
-            Event::HoldTimeEnds(intent_id) => self.end_call(intent_id),
-            Event::JobCompleted(node, run) => self.complete_job(node, run),
-            Event::SetUpArrives(leg_id) => self.set_up_arrives(leg_id),
-            Event::RefusalArrives(leg_id, cause, code) => self.refusal_arrives(leg_id, cause, code),
-            Event::AnswerArrives(leg_id) => self.answer_arrives(leg_id),
-            Event::RetransmitSetUp(leg_id, gap) => self.retransmit_set_up(leg_id, gap),
-            Event::CancelArrives(leg_id) => self.cancel_arrives(leg_id),
-            Event::FreeCircuits(leg_id) => self.free_circuits(leg_id),
-            Event::ExpireLeg(leg_id) => self.expire_leg(leg_id),
-            Event::JournalUpdate(controller, event) => self.update_journal(controller, event),
-            Event::PollTimeout(controller, connection_id, number) => {
+            Event::Arrival { node: origin } => self.arrival(origin),
+            Event::Redial { intent_id } => self.dial(intent_id),
+            Event::CallerTimeout { intent_id, tries } => self.caller_times_out(intent_id, tries),
+            Event::HoldTimeEnds { intent_id } => self.end_call(intent_id),
+            Event::JobCompleted { node, job_generation: run } => self.complete_job(node, run),
+            Event::SetUpArrives { leg_id } => self.set_up_arrives(leg_id),
+            Event::RefusalArrives { leg_id, cause, code } => self.refusal_arrives(leg_id, cause, code),
+            Event::AnswerArrives { leg_id } => self.answer_arrives(leg_id),
+            Event::RetransmitSetUp { leg_id, next_interval: gap } => self.retransmit_set_up(leg_id, gap),
+            Event::CancelArrives { leg_id } => self.cancel_arrives(leg_id),
+            Event::FreeCircuits { leg_id } => self.free_circuits(leg_id),
+            Event::ExpireLeg { leg_id } => self.expire_leg(leg_id),
+            Event::JournalUpdate { controller, change_index: event } => {
+                self.update_journal(controller, event)
+            }
+            Event::PollTimeout { controller, connection_id, poll_number: number } => {
                 self.expire_poll(controller, connection_id, number)
             }
             Event::AdviceSnapshot => self.take_advice_snapshot(),
@@ -398,14 +501,20 @@
                 self.schedule_in(seconds_to_nanos(self.script.groups.drift_every.0), Event::TrafficDrift);
             }
             Event::Sample => self.sample(),
-            Event::LeaveRotation(controller) => self.in_rotation[controller] = false,
-            Event::Reconnect(controller) => self.reconnect(controller),
-            Event::SlowAnswerReady(controller, number) => self.finish_slow_answer(controller, number),
-            Event::SendBytes(connection_id, bytes) => self.send(connection_id, &bytes),
-            Event::ReadyDeadline(controller, started) => self.check_ready(controller, started),
-            Event::BadCallerConnects(event, controller) => self.connect_bad_caller(event, controller),
-            Event::BadCallerDeadline(connection_id) => self.check_bad_caller_answered(connection_id),
-            Event::ScriptEventPhase(event, node, phase) => self.run_script_event(event, node, phase),
+            Event::LeaveRotation { controller } => self.in_rotation[controller] = false,
+            Event::Reconnect { controller } => self.reconnect(controller),
+            Event::SlowAnswerReady { controller, poll_number: number } => {
+                self.finish_slow_answer(controller, number)
+            }
+            Event::SendBytes { connection_id, bytes } => self.send(connection_id, &bytes),
+            Event::ReadyDeadline { controller, started_at: started } => self.check_ready(controller, started),
+            Event::BadCallerConnects { event_index: event, controller } => {
+                self.connect_bad_caller(event, controller)
+            }
+            Event::BadCallerDeadline { connection_id } => self.check_bad_caller_answered(connection_id),
+            Event::ScriptEventPhase { event_index: event, node, phase } => {
+                self.run_script_event(event, node, phase)
+            }
         }
     }
 
@@ -417,7 +526,7 @@
     ) -> SimConnectionId {
         let id = self.next_connection;
         self.next_connection += 1;
-        let (inbox, unsent) = (ReadBuffer::default(), Vec::new());
+        let (read_buffer, unsent) = (ReadBuffer::default(), Vec::new());
         self.connections.insert(
             id,
             SimConnection {
@@ -426,7 +535,7 @@
                 established,
                 silenced: false,
                 partition_buffer: None,
-                inbox,
+                read_buffer,
                 unsent,
             },
         );
@@ -515,7 +624,7 @@
     /// Closes a connection from the endpoint's side.
     fn close_connection(&mut self, connection_id: SimConnectionId) {
         if let Some(connection) = self.connections.get(&connection_id) {
-            self.actions.push_back(Action::Close(connection_id, connection.controller));
+            self.actions.push_back(Action::Close { connection_id, controller: connection.controller });
             self.remove_connection(connection_id);
         }
     }
@@ -535,8 +644,10 @@
         let controller = connection.controller;
         update_digest(&mut self.hasher, self.now, connection_id, 0, bytes);
         match self.actions.back_mut() {
-            Some(Action::Send(last, _, more)) if *last == connection_id => more.extend(bytes),
-            _ => self.actions.push_back(Action::Send(connection_id, controller, bytes.to_vec())),
+            Some(Action::Send { connection_id: last, bytes: more, .. }) if *last == connection_id => {
+                more.extend(bytes)
+            }
+            _ => self.actions.push_back(Action::Send { connection_id, controller, bytes: bytes.to_vec() }),
         }
     }
 
@@ -552,24 +663,24 @@
             return held.from_controller.extend(bytes);
         }
         update_digest(&mut self.hasher, self.now, connection_id, 1, bytes);
-        connection.inbox.append(bytes);
-        let mut inbox = std::mem::take(&mut connection.inbox);
+        connection.read_buffer.append(bytes);
+        let mut read_buffer = std::mem::take(&mut connection.read_buffer);
         let (controller, endpoint) = (connection.controller, connection.endpoint);
         let readable = match endpoint {
-            Endpoint::Callers => self.handle_caller_messages(controller, &mut inbox),
+            Endpoint::Callers => self.handle_caller_messages(controller, &mut read_buffer),
             Endpoint::BadCaller => {
                 self.bad_callers.insert(connection_id, true);
                 true
             }
-            Endpoint::Machine(m) => self.handle_sip_messages(controller, m, connection_id, &mut inbox),
-            Endpoint::Journal => self.handle_journal_request(controller, connection_id, &mut inbox),
+            Endpoint::Machine(m) => self.handle_sip_messages(controller, m, connection_id, &mut read_buffer),
+            Endpoint::Journal => self.handle_journal_request(controller, connection_id, &mut read_buffer),
         };
         if !readable {
             self.auditor.malformed_output(self.now, controller);
             return self.close_connection(connection_id);
         }
         if let Some(connection) = self.connections.get_mut(&connection_id) {
-            connection.inbox = inbox;
+            connection.read_buffer = read_buffer;
         }
     }
 
--- a/rehearsal/src/world/nodes.rs
+++ b/rehearsal/src/world/nodes.rs
@@ -134,10 +134,10 @@
         if let Some(connection) = self.connections.get_mut(&connection_id) {
             connection.endpoint = Endpoint::Machine(machine);
         }
-        let m = &mut self.machines[machine];
-        m.connections.entry(controller).or_default().push(connection_id);
-        let unsent_releases = m.unsent_releases.remove(&controller).unwrap_or_default();
-        let node = m.node;
+        let machine_state = &mut self.machines[machine];
+        machine_state.connections.entry(controller).or_default().push(connection_id);
+        let unsent_releases = machine_state.unsent_releases.remove(&controller).unwrap_or_default();
+        let node = machine_state.node;
         self.notify_group(controller, node);
         for (id, cause) in unsent_releases {
             self.send_release(controller, machine, id, cause);
@@ -190,10 +190,10 @@
         controller: usize,
         machine: usize,
         connection_id: SimConnectionId,
-        inbox: &mut ReadBuffer,
+        read_buffer: &mut ReadBuffer,
     ) -> bool {
         loop {
-            let (message, consumed) = match sip::parse(inbox.unread()) {
+            let (message, consumed) = match sip::parse(read_buffer.unread()) {
                 Err(_) => return false,
                 Ok(None) => return true,
                 Ok(Some(found)) => found,
@@ -226,7 +226,7 @@
                 }
                 _ => {}
             }
-            inbox.consume(consumed);
+            read_buffer.consume(consumed);
         }
     }
 
@@ -309,7 +309,7 @@
         self.enqueue_job(controller, 1.0, JobKind::OriginSetUp(leg_id));
         let after = seconds_to_nanos(self.script.processor.repeat_after.0);
         if after > 0 {
-            self.schedule_in(after, Event::RetransmitSetUp(leg_id, 2 * after));
+            self.schedule_in(after, Event::RetransmitSetUp { leg_id, next_interval: 2 * after });
         }
     }
 
@@ -325,7 +325,7 @@
         }
         let to = leg.target_node;
         self.enqueue_job(to, self.script.processor.repeat.0, JobKind::Other);
-        self.schedule_in(gap, Event::RetransmitSetUp(leg_id, 2 * gap));
+        self.schedule_in(gap, Event::RetransmitSetUp { leg_id, next_interval: 2 * gap });
     }
 
     pub(super) fn mark_processed(&mut self, leg_id: u64) {
@@ -348,7 +348,7 @@
         }
         if self.reject_if_overloaded(to) {
             let delay = self.delay(to, from);
-            return self.schedule_in(delay, Event::RefusalArrives(leg_id, "overload", 503));
+            return self.schedule_in(delay, Event::RefusalArrives { leg_id, cause: "overload", code: 503 });
         }
         let leg = &self.legs[&leg_id];
         if leg.destination == to {
@@ -387,7 +387,7 @@
     }
 
     fn turn_back(&mut self, leg_id: u64) {
-        self.schedule_in(0, Event::RefusalArrives(leg_id, "turned_back", 503));
+        self.schedule_in(0, Event::RefusalArrives { leg_id, cause: "turned_back", code: 503 });
     }
 
     /// Handles the answer of a tandem's controller to a call in transit.
@@ -398,7 +398,7 @@
         leg.answer = description.to_vec();
         let (from, to) = (leg.target_node, leg.controller);
         let delay = self.delay(from, to);
-        self.schedule_in(delay, Event::AnswerArrives(leg_id));
+        self.schedule_in(delay, Event::AnswerArrives { leg_id });
     }
 
     /// Handles a refusal by a tandem's controller: the call is turned back.
@@ -410,7 +410,11 @@
         let delay = self.delay(from, to);
         self.schedule_in(
             delay,
-            Event::RefusalArrives(leg_id, if overloaded { "far_overload" } else { "turned_back" }, 503),
+            Event::RefusalArrives {
+                leg_id,
+                cause: if overloaded { "far_overload" } else { "turned_back" },
+                code: 503,
+            },
         );
     }
 
@@ -419,7 +423,7 @@
         if let Some(leg) = self.legs.get(&leg_id) {
             let (from, to) = (leg.target_node, leg.controller);
             let delay = self.delay(from, to);
-            self.schedule_in(delay, Event::RefusalArrives(leg_id, "", 504));
+            self.schedule_in(delay, Event::RefusalArrives { leg_id, cause: "", code: 504 });
         }
     }
 
@@ -491,7 +495,7 @@
         }
         self.send(connection_id, &output);
         if faulty {
-            self.schedule_in(DUPLICATE_ANSWER_DELAY, Event::SendBytes(connection_id, output));
+            self.schedule_in(DUPLICATE_ANSWER_DELAY, Event::SendBytes { connection_id, bytes: output });
         }
     }
 
@@ -501,8 +505,8 @@
         leg.state = LegState::Ended;
         let (from, to) = (leg.controller, leg.target_node);
         let delay = self.delay(from, to);
-        self.schedule_in(delay, Event::CancelArrives(leg_id));
-        self.schedule_in(seconds_to_nanos(self.script.groups.frees_after.0), Event::FreeCircuits(leg_id));
+        self.schedule_in(delay, Event::CancelArrives { leg_id });
+        self.schedule_in(seconds_to_nanos(self.script.groups.frees_after.0), Event::FreeCircuits { leg_id });
     }
 
     pub(super) fn cancel_arrives(&mut self, leg_id: u64) {
@@ -524,7 +528,7 @@
         }
         // Messages that cross the end of the leg still find it.
         if self.legs[&leg_id].state == LegState::Ended {
-            self.schedule_in(LEG_RETENTION, Event::ExpireLeg(leg_id));
+            self.schedule_in(LEG_RETENTION, Event::ExpireLeg { leg_id });
         }
     }
 
@@ -566,16 +570,17 @@
 
     fn send_release(&mut self, controller: usize, machine: usize, id: u64, cause: u8) {
         let connections = self.machines[machine].connections.get(&controller).map_or(&[][..], |ids| ids);
-        let set_up_on = self
+        let set_up_connection = self
             .latest_leg
             .get(&(controller, id))
             .and_then(|leg_id| self.legs.get(leg_id))
             .map(|leg| leg.connection_id);
         // Prefer the connection of the set-up, otherwise use the latest open one.
-        let own = connections.iter().find(|id| Some(**id) == set_up_on).or(connections.last()).copied();
-        let Some(connection_id) = own.filter(|id| self.delivers_now(*id)) else {
-            let m = &mut self.machines[machine];
-            return m.unsent_releases.entry(controller).or_default().push((id, cause));
+        let preferred =
+            connections.iter().find(|id| Some(**id) == set_up_connection).or(connections.last()).copied();
+        let Some(connection_id) = preferred.filter(|id| self.delivers_now(*id)) else {
+            let machine_state = &mut self.machines[machine];
+            return machine_state.unsent_releases.entry(controller).or_default().push((id, cause));
         };
         self.machines[machine].unacknowledged_releases.insert(id, (connection_id, cause));
         self.auditor.observe(self.now, Observation::ByeFromNode { controller, id, cause });
--- a/rehearsal/src/world/processor.rs
+++ b/rehearsal/src/world/processor.rs
@@ -165,7 +165,7 @@
             processor.job_generation += 1;
             processor.current_job = Some((id, self.now, rate));
             let job_generation = processor.job_generation;
-            self.schedule_in(duration, Event::JobCompleted(node, job_generation));
+            self.schedule_in(duration, Event::JobCompleted { node, job_generation });
         }
     }
 
@@ -196,7 +196,7 @@
             JobKind::OriginSetUp(leg_id) => {
                 let to = self.legs[&leg_id].target_node;
                 let delay = self.delay(node, to);
-                self.schedule_in(delay, Event::SetUpArrives(leg_id));
+                self.schedule_in(delay, Event::SetUpArrives { leg_id });
             }
             JobKind::DestinationSetUp(leg_id) => {
                 self.mark_processed(leg_id);
@@ -207,7 +207,7 @@
                     leg.answer = session_description(leg.call_id ^ 0x5a5a);
                     let origin = leg.controller;
                     let delay = self.delay(node, origin);
-                    self.schedule_in(delay, Event::AnswerArrives(leg_id));
+                    self.schedule_in(delay, Event::AnswerArrives { leg_id });
                 }
             }
             JobKind::OriginAnswer(leg_id) => self.complete_set_up(leg_id),
