--- a/rehearsal/src/virtual_clock.rs
+++ b/rehearsal/src/virtual_clock.rs
@@ -133,14 +133,16 @@
     }
 }
 
+/// Input for a controller.
 enum Inbound {
     Accept(SimConnectionId),
     Bytes(SimConnectionId, Vec<u8>),
-    Ended(SimConnectionId),
+    ReadClosed(SimConnectionId),
     Connected(ConnId, SimConnectionId),
     ConnectFailed(ConnId),
 }
 
+/// Anything on its way between a controller and the world.
 enum Delivery {
     /// For a controller, unless it has been restarted since, which increments the generation.
     Inbound {
@@ -158,9 +160,11 @@
     },
 }
 
+/// A controller with its connections and its next turn.
 #[derive(Default)]
 struct ControllerHost {
     controller: Option<Box<dyn Controller>>,
+    /// Incremented at each start and stop, so that deliveries to an earlier controller are dropped.
     generation: u32,
     listening: bool,
     last_turn: Nanos,
@@ -171,10 +175,12 @@
     connecting: BTreeSet<ConnId>,
 }
 
+/// Event loop of a run on the virtual clock.
 struct VirtualClock<'a> {
     now: Nanos,
     world: World,
     hosts: Vec<ControllerHost>,
+    /// Scheduled turns: time and host.
     turns: BTreeSet<(Nanos, usize)>,
     /// Pending deliveries. All have the same delay, so they arrive in the order in which they were sent.
     deliveries: VecDeque<(Nanos, Delivery)>,
@@ -254,7 +260,7 @@
                     self.schedule_inbound(controller, Inbound::Bytes(sim_connection, bytes))
                 }
                 Action::Close { connection_id: sim_connection, controller } => {
-                    self.schedule_inbound(controller, Inbound::Ended(sim_connection))
+                    self.schedule_inbound(controller, Inbound::ReadClosed(sim_connection))
                 }
                 Action::StartController { controller: host, config } => {
                     let controller = (self.create_controller)(self.now, &config)?;
@@ -283,7 +289,7 @@
                 // Controllers in this process read their configuration only at the start.
                 Action::SignalController { signal: Signal::Reload, .. } => {}
                 Action::ShutdownWrite { connection_id: sim_connection, controller } => {
-                    self.schedule_inbound(controller, Inbound::Ended(sim_connection))
+                    self.schedule_inbound(controller, Inbound::ReadClosed(sim_connection))
                 }
                 Action::KillController { controller: host } => self.remove_controller(host),
             }
@@ -376,10 +382,10 @@
             self.remove_controller(host);
             return self.world.controller_stopped(self.now, host);
         }
-        let due = controller.next_deadline();
+        let deadline = controller.next_deadline();
         self.hosts[host].controller = Some(controller);
-        if let Some(due) = due {
-            self.schedule_turn(host, due);
+        if let Some(deadline) = deadline {
+            self.schedule_turn(host, deadline);
         }
     }
 
@@ -410,15 +416,15 @@
                 let Some(conn) = self.hosts[host].engine_connections.get(&sim_connection).copied() else {
                     return;
                 };
-                let mut rest = &bytes[..];
-                while let Some(room) = controller.read_buffer(conn).filter(|_| !rest.is_empty()) {
-                    let count = room.len().min(rest.len());
-                    room[..count].copy_from_slice(&rest[..count]);
-                    rest = &rest[count..];
+                let mut remaining = &bytes[..];
+                while let Some(free_space) = controller.read_buffer(conn).filter(|_| !remaining.is_empty()) {
+                    let count = free_space.len().min(remaining.len());
+                    free_space[..count].copy_from_slice(&remaining[..count]);
+                    remaining = &remaining[count..];
                     controller.bytes_read(conn, count);
                 }
             }
-            Inbound::Ended(sim_connection) => {
+            Inbound::ReadClosed(sim_connection) => {
                 if let Some(conn) = self.hosts[host].engine_connections.remove(&sim_connection) {
                     self.hosts[host].sim_connections.remove(&conn);
                     controller.read_closed(conn);
@@ -452,7 +458,7 @@
                 Output::ShutdownWrite(conn) => {
                     if let Some(sim_connection) = self.hosts[host].sim_connections.get(&conn).copied() {
                         self.schedule_delivery(Delivery::Closed(sim_connection));
-                        self.schedule_inbound(host, Inbound::Ended(sim_connection));
+                        self.schedule_inbound(host, Inbound::ReadClosed(sim_connection));
                     }
                 }
                 Output::Listen(_) => self.hosts[host].listening = true,
--- a/rehearsal/src/wall_clock.rs
+++ b/rehearsal/src/wall_clock.rs
@@ -76,11 +76,11 @@
             return *address;
         }
         // The controller itself listens at the callers' address.
-        let made = match endpoint {
+        let allocated = match endpoint {
             Endpoint::Callers | Endpoint::BadCaller => self.reserve(),
             Endpoint::Machine(_) | Endpoint::Journal => self.listen(controller, endpoint),
         };
-        let address = made.unwrap_or_else(|e| {
+        let address = allocated.unwrap_or_else(|e| {
             self.error = Some(format!("cannot allocate a loopback port: {e}"));
             SocketAddr::from(([127, 0, 0, 1], 9))
         });
@@ -109,6 +109,7 @@
     }
 }
 
+/// Address of an endpoint for one controller, and its listener.
 struct EndpointListener {
     controller: usize,
     endpoint: Endpoint,
@@ -122,7 +123,7 @@
     Listening(mio::net::TcpListener),
     /// Connections are neither established nor refused: the listener's queue is full, so the system drops connection
     /// requests.
-    Blocked { _listener: mio::net::TcpListener, _filler: mio::net::TcpStream },
+    Blocked { _listener: mio::net::TcpListener, _queue_filler: mio::net::TcpStream },
     /// Connections are refused.
     Closed,
 }
@@ -138,6 +139,7 @@
     }
 }
 
+/// Socket of a connection to a controller, with pending output.
 struct ControllerSocket {
     stream: mio::net::TcpStream,
     established: bool,
@@ -164,6 +166,7 @@
     }
 }
 
+/// Event loop of a run on the wall clock.
 struct Driver<'a> {
     poll: Poll,
     world: World,
@@ -173,6 +176,7 @@
     /// Connections that were accepted by the system but must look as if they were never established.
     timed_out_connections: Vec<mio::net::TcpStream>,
     processes: ControllerProcesses,
+    /// By controller, whether it was sent SIGTERM or SIGINT, so that its exit is expected.
     terminating: Vec<bool>,
     crashes: u32,
     /// Next time at which the resource usage of the processes is read.
@@ -180,7 +184,8 @@
     program: &'a Path,
     logs: Option<PathBuf>,
     folder: tempfile::TempDir,
-    started_at: (Instant, Nanos),
+    /// Start of the driver on the monotonic clock and as Unix time.
+    start_times: (Instant, Nanos),
 }
 
 /// Options of a run on the wall clock.
@@ -206,7 +211,7 @@
 }
 
 impl Lateness {
-    fn step(&mut self, late_by: Nanos) {
+    fn record_step(&mut self, late_by: Nanos) {
         self.steps += 1;
         self.late_steps += u64::from(late_by > LATENESS_THRESHOLD);
         self.max_lateness = self.max_lateness.max(late_by);
@@ -273,7 +278,7 @@
         program,
         logs: options.logs.clone(),
         folder: tempfile::tempdir().map_err(error_context("cannot create a temporary directory"))?,
-        started_at: (Instant::now(), unix_now),
+        start_times: (Instant::now(), unix_now),
     };
     let lateness = driver.run()?;
     let world = &mut driver.world;
@@ -284,7 +289,7 @@
 
 impl Driver<'_> {
     fn now(&self) -> Nanos {
-        self.started_at.1 + self.started_at.0.elapsed().as_nanos() as Nanos
+        self.start_times.1 + self.start_times.0.elapsed().as_nanos() as Nanos
     }
 
     /// Runs the world to its end.
@@ -293,14 +298,14 @@
         let mut events = Events::with_capacity(1024);
         self.perform_actions()?;
         while self.now() < self.world.end_time() {
-            let due = self.world.next_event_time().unwrap_or(Nanos::MAX);
-            let wait = Duration::from_nanos(due.saturating_sub(self.now())).min(MAX_POLL_WAIT);
+            let next_event = self.world.next_event_time().unwrap_or(Nanos::MAX);
+            let wait = Duration::from_nanos(next_event.saturating_sub(self.now())).min(MAX_POLL_WAIT);
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(format!("epoll: {e}")),
                 _ => {}
             }
             let now = self.now();
-            lateness.step(now.saturating_sub(due));
+            lateness.record_step(now.saturating_sub(next_event));
             for event in &events {
                 let token = event.token().0;
                 if token < FIRST_CONNECTION_TOKEN {
@@ -584,9 +589,9 @@
         };
         self.poll.registry().deregister(&mut listener).map_err(error_context("epoll"))?;
         rustix::net::listen(&listener, 0).map_err(error_context("cannot set up a listener"))?;
-        let filler = mio::net::TcpStream::connect(endpoint_listener.address)
+        let queue_filler = mio::net::TcpStream::connect(endpoint_listener.address)
             .map_err(error_context("cannot fill the queue of a listener"))?;
-        endpoint_listener.state = ListenerState::Blocked { _listener: listener, _filler: filler };
+        endpoint_listener.state = ListenerState::Blocked { _listener: listener, _queue_filler: queue_filler };
         Ok(())
     }
 
--- a/rehearsal/src/world/callers.rs
+++ b/rehearsal/src/world/callers.rs
@@ -11,7 +11,10 @@
 use rand_distr::{Distribution, Exp1};
 
 use super::processor::JobKind;
-use super::{seconds_to_nanos, Action, Endpoint, Event, SimConnectionId, World, MS, RECONNECT_DELAY};
+use super::{
+    seconds_to_nanos, Action, Endpoint, Event, SimConnectionId, World, CAUSE_NORMAL_CLEARING, MS,
+    RECONNECT_DELAY,
+};
 use crate::audit::{Observation, ANSWER_GRACE};
 use crate::report::{CallOutcome, LostCall};
 use crate::script::Script;
@@ -24,7 +27,8 @@
 const PIECE_INTERVAL: Nanos = 30 * MS;
 /// Inter-arrival times are drawn again at least this often, because the arrival rate may have changed.
 const MAX_ARRIVAL_GAP_SECONDS: f64 = 0.25;
-/// Q.850 causes that mean that the call was refused and may be tried again.
+/// Q.850 causes that mean that the call was refused and may be tried again: no circuit available, switching
+/// equipment congestion, recovery on timer expiry.
 const REFUSAL_CAUSES: [u8; 3] = [34, 42, 102];
 
 /// A call that a caller wants to make, over all its tries.
@@ -35,7 +39,7 @@
     pub destination: usize,
     pub first_try_at: Nanos,
     hold_time: Nanos,
-    number: u64,
+    called_number: u64,
     follows_retry_advice: bool,
     redials_after_cut: bool,
     tries: u32,
@@ -152,11 +156,11 @@
             let rng = &mut self.callers.arrival_rngs[origin];
             let shares: f64 = script.classes.iter().map(|c| c.share.0).sum();
             let mut remaining = rng.random::<f64>() * shares;
-            let found = script.classes.iter().position(|c| {
+            let drawn_class = script.classes.iter().position(|c| {
                 remaining -= c.share.0;
                 remaining < 0.0
             });
-            let class = found.unwrap_or(0);
+            let class = drawn_class.unwrap_or(0);
             let hold: f64 = Exp1.sample(rng);
             let intent = CallIntent {
                 class,
@@ -164,7 +168,7 @@
                 destination: self.network.draw_destination(origin, rng.random()),
                 first_try_at: self.now,
                 hold_time: seconds_to_nanos(hold * script.classes[class].hold.0),
-                number: rng.random(),
+                called_number: rng.random(),
                 follows_retry_advice: rng.random::<f64>() < script.callers.heed.0,
                 redials_after_cut: rng.random::<f64>() < script.callers.cut_again.0,
                 tries: 0,
@@ -173,11 +177,11 @@
                 stands_since: None,
                 last_outcome: CallOutcome::Failed,
             };
-            let id = self.callers.next_intent;
+            let intent_id = self.callers.next_intent;
             self.callers.next_intent += 1;
             self.statistics.record_offered(class, self.elapsed_seconds());
-            self.intents.insert(id, intent);
-            self.dial(id);
+            self.intents.insert(intent_id, intent);
+            self.dial(intent_id);
         }
         self.schedule_arrival(origin);
     }
@@ -187,20 +191,21 @@
         let Some(intent) = self.intents.get_mut(&intent_id) else { return };
         let class = &self.script.classes[intent.class];
         let gives_up_at = intent.first_try_at + seconds_to_nanos(class.deadline.0);
-        let (now, patience) = (self.now, seconds_to_nanos(class.deadline.0 * self.script.callers.patience.0));
-        let wait = patience.min(gives_up_at.saturating_sub(now));
+        let (now, try_timeout) =
+            (self.now, seconds_to_nanos(class.deadline.0 * self.script.callers.patience.0));
+        let wait = try_timeout.min(gives_up_at.saturating_sub(now));
         intent.tries += 1;
         intent.call_id = self.rng.random::<u64>().max(1);
-        let (id, origin, tries) = (intent.call_id, intent.origin, intent.tries);
+        let (call_id, origin, tries) = (intent.call_id, intent.origin, intent.tries);
         let (number, destination, class_index, redial_after_cut) =
-            (intent.number, intent.destination, intent.class, intent.was_cut);
+            (intent.called_number, intent.destination, intent.class, intent.was_cut);
         if !self.is_reachable_by_callers(origin) {
             return self.handle_failed_try(intent_id, CallOutcome::Failed, None);
         }
         self.enqueue_job(origin, self.script.processor.look.0, JobKind::Other);
-        let advice =
+        let tandem =
             if self.script.advice.given { self.network.advised_tandem(origin, destination) } else { None };
-        let via = advice.map_or(-1, |t| t as i64);
+        let via = tandem.map_or(-1, |t| t as i64);
         let mut attributes =
             format!("dest:{destination};width:{};via:{via}", self.script.classes[class_index].width);
         if redial_after_cut {
@@ -210,12 +215,12 @@
         let owner = CallOwner::Caller(intent_id);
         self.offer_call(
             origin,
-            id,
+            call_id,
             owner,
             (class_index, destination, wait),
             &number,
             &attributes,
-            &session_description(id),
+            &session_description(call_id),
         );
         // The caller accepts answers for a grace period after the deadline; the auditor checks the deadline itself.
         let longest_delivery = DeliveryMode::Pieces.duration();
@@ -350,17 +355,17 @@
     }
 
     fn open_pool_connection(&self, controller: usize) -> Option<SimConnectionId> {
-        let mut open = self.callers.connection_pools[controller].iter().flatten().copied();
-        open.find(|connection_id| {
+        let mut pool = self.callers.connection_pools[controller].iter().flatten().copied();
+        pool.find(|connection_id| {
             self.connections.get(connection_id).is_some_and(|connection| connection.established)
         })
     }
 
-    fn pool_connection(&mut self, controller: usize, id: u64) -> SimConnectionId {
+    fn pool_connection(&mut self, controller: usize, call_id: u64) -> SimConnectionId {
         if let Some(open) = self.open_pool_connection(controller).filter(|_| !self.in_rotation[controller]) {
             return open;
         }
-        let slot = id as usize % self.callers.connection_pools[controller].len();
+        let slot = call_id as usize % self.callers.connection_pools[controller].len();
         if let Some(connection_id) =
             self.callers.connection_pools[controller][slot].filter(|id| self.connections.contains_key(id))
         {
@@ -375,13 +380,13 @@
     /// Opens a connection if the controller has standing calls and none is open, so that it can release them.
     pub(super) fn reconnect(&mut self, controller: usize) {
         let call_range = (controller, 0)..=(controller, u64::MAX);
-        let stands =
+        let standing_call =
             self.callers.offered_calls.range(call_range).find(|(_, s)| s.stands).map(|((_, id), _)| *id);
-        let open = self.callers.connection_pools[controller]
+        let has_open_connection = self.callers.connection_pools[controller]
             .iter()
             .flatten()
             .any(|id| self.connections.contains_key(id));
-        if let (Some(id), false, true) = (stands, open, self.running[controller]) {
+        if let (Some(id), false, true) = (standing_call, has_open_connection, self.running[controller]) {
             self.pool_connection(controller, id);
         }
     }
@@ -432,7 +437,7 @@
             self.statistics.record_set_up_time(set_up_time);
         }
         match call.owner {
-            CallOwner::Transit(leg_id) => self.child_answered(leg_id, description),
+            CallOwner::Transit(leg_id) => self.transit_call_answered(leg_id, description),
             CallOwner::Caller(intent_id) => {
                 if let Some(intent) = self.intents.get_mut(&intent_id) {
                     intent.stands_since = Some(self.now);
@@ -446,14 +451,14 @@
     fn call_released(&mut self, controller: usize, id: u64, cause: u8, retry_after: Option<Nanos>) {
         let Some(call) = self.callers.offered_calls.remove(&(controller, id)) else { return };
         match (call.owner, call.stands) {
-            (CallOwner::Transit(leg_id), false) => self.child_refused(leg_id),
+            (CallOwner::Transit(leg_id), false) => self.transit_call_refused(leg_id),
             (CallOwner::Transit(_), true) => {}
             (CallOwner::Caller(intent_id), true) => self.handle_cut_call(intent_id),
             (CallOwner::Caller(intent_id), false) => {
-                let refused = REFUSAL_CAUSES.contains(&cause);
+                let is_refusal = REFUSAL_CAUSES.contains(&cause);
                 self.handle_failed_try(
                     intent_id,
-                    if refused { CallOutcome::Refused } else { CallOutcome::Failed },
+                    if is_refusal { CallOutcome::Refused } else { CallOutcome::Failed },
                     retry_after,
                 );
             }
@@ -483,7 +488,7 @@
             self.pool_connection(controller, id)
         };
         let mut message = Vec::new();
-        binary::write(&mut message, kind::RELEASE, id, &[(param::CAUSE, &[16])]);
+        binary::write(&mut message, kind::RELEASE, id, &[(param::CAUSE, &[CAUSE_NORMAL_CLEARING])]);
         self.send(connection_id, &message);
     }
 
@@ -565,7 +570,7 @@
         };
         let (origin, id) = (intent.origin, intent.call_id);
         if let Some(leg_id) = self.latest_leg.get(&(origin, id)).copied() {
-            self.release_chain(leg_id, 16);
+            self.release_chain(leg_id, CAUSE_NORMAL_CLEARING);
         }
         // The offered call stays, because its controller has yet to send the release.
         self.record_outcome(intent_id, CallOutcome::Stood);
@@ -593,14 +598,14 @@
         self.controller_starts[controller].connect_failed |= !established;
         let unanswered = |s: &OfferedCall| s.connection_id == connection_id && !s.stands;
         let call_range = (controller, 0)..=(controller, u64::MAX);
-        let open: Vec<u64> = self
+        let unanswered_calls: Vec<u64> = self
             .callers
             .offered_calls
             .range(call_range)
             .filter(|(_, s)| unanswered(s))
             .map(|((_, id), _)| *id)
             .collect();
-        for id in open {
+        for id in unanswered_calls {
             let Some(mut call) = self.callers.offered_calls.remove(&(controller, id)) else { continue };
             let crossed = !call.resent && self.now < call.sent_at + RESEND_WINDOW;
             if crossed && self.running[controller] && self.in_rotation[controller] {
@@ -620,7 +625,7 @@
                 self.auditor.observe(self.now, Observation::CallerDisconnected { controller, id });
             }
             match call.owner {
-                CallOwner::Transit(leg_id) => self.child_failed(leg_id),
+                CallOwner::Transit(leg_id) => self.transit_call_lost(leg_id),
                 CallOwner::Caller(intent_id) => self.handle_failed_try(intent_id, CallOutcome::Failed, None),
             }
         }
--- a/rehearsal/src/world/journal.rs
+++ b/rehearsal/src/world/journal.rs
@@ -15,7 +15,7 @@
 /// All journal services learn of a change within this time of each other.
 const UPDATE_SPREAD_SECONDS: f64 = 0.2;
 /// Maximum time that a long poll is held open.
-const MAX_WAIT_MS: u64 = 5_000;
+const MAX_LONG_POLL_MS: u64 = 5_000;
 
 /// A pending request for updates.
 struct LongPoll {
@@ -209,7 +209,7 @@
         service.poll =
             Some(LongPoll { connection_id, poll_number, position, slow_answer: SlowAnswer::NotStarted });
         self.schedule_in(
-            wait.min(MAX_WAIT_MS) * MS,
+            wait.min(MAX_LONG_POLL_MS) * MS,
             Event::PollTimeout { controller, connection_id, poll_number },
         );
         self.answer_poll(controller, false);
--- a/rehearsal/src/world/mod.rs
+++ b/rehearsal/src/world/mod.rs
@@ -36,6 +36,11 @@
 pub const SEC: Nanos = 1_000_000_000;
 pub use dillhold::clock::MS;
 
+/// Q.850 cause of a normal release.
+const CAUSE_NORMAL_CLEARING: u8 = 16;
+/// Q.850 cause of the release of a call that was cut.
+const CAUSE_TEMPORARY_FAILURE: u8 = 41;
+
 /// Delay after which callers with standing calls reconnect to a controller once all their connections are closed.
 const RECONNECT_DELAY: Nanos = SEC / 5;
 
@@ -546,7 +551,7 @@
     pub fn connect_outcome(&self, controller: usize, endpoint: Endpoint) -> ConnectOutcome {
         match endpoint {
             Endpoint::Machine(m) => {
-                let machine = &self.machines[self.machine_at(m)];
+                let machine = &self.machines[self.machine_at_address(m)];
                 let cut = self.active_partitions[machine.node] + self.active_connect_blocks[machine.node] > 0;
                 if cut {
                     ConnectOutcome::TimesOut
--- a/rehearsal/src/world/nodes.rs
+++ b/rehearsal/src/world/nodes.rs
@@ -9,7 +9,9 @@
 
 use super::callers::CallOwner;
 use super::processor::JobKind;
-use super::{seconds_to_nanos, ConnectOutcome, Endpoint, Event, SimConnectionId, World, MS};
+use super::{
+    seconds_to_nanos, ConnectOutcome, Endpoint, Event, SimConnectionId, World, CAUSE_TEMPORARY_FAILURE, MS,
+};
 use crate::audit::Observation;
 
 /// How long an ended leg is kept, for messages that cross its end.
@@ -43,10 +45,10 @@
         Machine::new(node, node, node, None)
     }
 
-    pub fn new(number: usize, node: usize, address_owner: usize, started_at: Option<Nanos>) -> Machine {
+    pub fn new(index: usize, node: usize, address_owner: usize, started_at: Option<Nanos>) -> Machine {
         Machine {
             node,
-            uid: format!("s-{number:08x}"),
+            uid: format!("s-{index:08x}"),
             started_at,
             connect_outcome: ConnectOutcome::Accepted,
             address_owner,
@@ -79,7 +81,7 @@
     width: u32,
     connection_id: SimConnectionId,
     sequence: u32,
-    number: String,
+    called_number: String,
     description: Vec<u8>,
     pub answer: Vec<u8>,
     deadline: Nanos,
@@ -95,18 +97,19 @@
     refusal_cause: &'static str,
 }
 
+/// Writes a SIP message of a call.
 fn write_sip(
     output: &mut Vec<u8>,
-    line: std::fmt::Arguments<'_>,
-    id: u64,
+    start_line: std::fmt::Arguments<'_>,
+    call_id: u64,
     sequence: (u32, &str),
     extra_headers: &str,
     body: &[u8],
 ) {
     sip::write(
         output,
-        line,
-        format!("{id:016x}").as_bytes(),
+        start_line,
+        format!("{call_id:016x}").as_bytes(),
         sequence,
         format_args!("{extra_headers}"),
         body,
@@ -119,9 +122,9 @@
     }
 
     /// Returns the machine that currently uses an address.
-    pub(super) fn machine_at(&self, address_owner: usize) -> usize {
-        let latest = self.machines.iter().rposition(|m| m.address_owner == address_owner);
-        latest.unwrap_or(address_owner)
+    pub(super) fn machine_at_address(&self, address_owner: usize) -> usize {
+        let latest_machine = self.machines.iter().rposition(|m| m.address_owner == address_owner);
+        latest_machine.unwrap_or(address_owner)
     }
 
     pub(super) fn accept_machine_connection(
@@ -130,7 +133,7 @@
         address_owner: usize,
         connection_id: SimConnectionId,
     ) {
-        let machine = self.machine_at(address_owner);
+        let machine = self.machine_at_address(address_owner);
         if let Some(connection) = self.connections.get_mut(&connection_id) {
             connection.endpoint = Endpoint::Machine(machine);
         }
@@ -154,26 +157,26 @@
             connections.retain(|id| *id != connection_id);
         }
         // A release that may not have arrived is sent again on another connection, or on the next one.
-        let mut lost: Vec<(u64, u8)> = Vec::new();
+        let mut lost_releases: Vec<(u64, u8)> = Vec::new();
         self.machines[machine].unacknowledged_releases.retain(|id, (on, cause)| {
             if *on == connection_id {
-                lost.push((*id, *cause));
+                lost_releases.push((*id, *cause));
             }
             *on != connection_id
         });
         if self.machines[machine].connect_outcome == ConnectOutcome::Accepted {
-            for (id, cause) in lost {
+            for (id, cause) in lost_releases {
                 self.send_release(controller, machine, id, cause);
             }
         }
         // On a silenced connection the controller received no response to its attempts, not even their end.
-        let open_legs: Vec<u64> = self
+        let legs_on_connection: Vec<u64> = self
             .legs
             .iter()
             .filter(|(_, leg)| leg.connection_id == connection_id)
             .map(|(id, _)| *id)
             .collect();
-        for leg_id in open_legs {
+        for leg_id in legs_on_connection {
             self.auditor.observe(
                 self.now,
                 Observation::AttemptConnectionLost { controller, id: self.legs[&leg_id].call_id },
@@ -209,9 +212,9 @@
                     write_sip(&mut output, format_args!("SIP/2.0 200 OK"), id, (sequence, "CANCEL"), "", b"");
                     self.send(connection_id, &output);
                     let leg_id = self.latest_leg.get(&(controller, id)).copied();
-                    let open =
+                    let is_setting_up =
                         |leg: &u64| self.legs.get(leg).is_some_and(|leg| leg.state == LegState::SettingUp);
-                    if let Some(leg_id) = leg_id.filter(open) {
+                    if let Some(leg_id) = leg_id.filter(is_setting_up) {
                         self.cancel_leg(leg_id);
                     }
                 }
@@ -238,21 +241,23 @@
         (call_id, sequence): (u64, u32),
         message: &Message<'_>,
     ) {
-        let text = |name| String::from_utf8_lossy(message.header(name).unwrap_or_default()).into_owned();
+        let header_text =
+            |name| String::from_utf8_lossy(message.header(name).unwrap_or_default()).into_owned();
         let node = self.machines[machine].node;
         let number = message.uri().and_then(|u| u.strip_prefix(b"sip:")?.strip_suffix(b"@net"));
-        let number = String::from_utf8_lossy(number.unwrap_or_default()).into_owned();
-        let (class, wait) = (text("X-Service"), text("X-Setup-Ms").parse::<u64>().unwrap_or(0) * MS);
-        let seen = Observation::InviteToNode {
+        let called_number = String::from_utf8_lossy(number.unwrap_or_default()).into_owned();
+        let (class, timeout) =
+            (header_text("X-Service"), header_text("X-Setup-Ms").parse::<u64>().unwrap_or(0) * MS);
+        let observation = Observation::InviteToNode {
             controller,
             node,
             machine,
             id: call_id,
             class: &class,
-            number: &number,
+            number: &called_number,
             description: message.body,
         };
-        self.auditor.observe(self.now, seen);
+        self.auditor.observe(self.now, observation);
         let Some(call) = self.callers.offered_calls.get(&(controller, call_id)) else { return };
         let (owner, destination, class) = (call.owner, call.destination, call.class);
         let leg_id = self.next_leg;
@@ -273,10 +278,10 @@
             width,
             connection_id,
             sequence,
-            number,
+            called_number,
             description: message.body.to_vec(),
             answer: Vec::new(),
-            deadline: self.now + wait,
+            deadline: self.now + timeout,
             holds_circuits: false,
             processed_at_target: false,
             parent_leg,
@@ -307,14 +312,14 @@
             return self.respond(leg_id, 503, "overload");
         }
         self.enqueue_job(controller, 1.0, JobKind::OriginSetUp(leg_id));
-        let after = seconds_to_nanos(self.script.processor.repeat_after.0);
-        if after > 0 {
-            self.schedule_in(after, Event::RetransmitSetUp { leg_id, next_interval: 2 * after });
+        let interval = seconds_to_nanos(self.script.processor.repeat_after.0);
+        if interval > 0 {
+            self.schedule_in(interval, Event::RetransmitSetUp { leg_id, next_interval: 2 * interval });
         }
     }
 
     /// Retransmits an unprocessed set-up, which costs the target node work, and schedules the next retransmission.
-    pub(super) fn retransmit_set_up(&mut self, leg_id: u64, gap: Nanos) {
+    pub(super) fn retransmit_set_up(&mut self, leg_id: u64, interval: Nanos) {
         let Some(leg) =
             self.legs.get(&leg_id).filter(|leg| leg.state == LegState::SettingUp && !leg.processed_at_target)
         else {
@@ -325,7 +330,7 @@
         }
         let to = leg.target_node;
         self.enqueue_job(to, self.script.processor.repeat.0, JobKind::Other);
-        self.schedule_in(gap, Event::RetransmitSetUp { leg_id, next_interval: 2 * gap });
+        self.schedule_in(interval, Event::RetransmitSetUp { leg_id, next_interval: 2 * interval });
     }
 
     pub(super) fn mark_processed(&mut self, leg_id: u64) {
@@ -371,19 +376,27 @@
     /// Offers a call in transit to the tandem's own controller.
     pub(super) fn offer_in_transit(&mut self, leg_id: u64) {
         let leg = &self.legs[&leg_id];
-        let (node, until) = (leg.target_node, leg.deadline);
-        if !self.running[node] || !self.is_reachable_by_callers(node) || self.now >= until {
+        let (node, deadline) = (leg.target_node, leg.deadline);
+        if !self.running[node] || !self.is_reachable_by_callers(node) || self.now >= deadline {
             return self.turn_back(leg_id);
         }
-        let id = self.rng.random::<u64>().max(1);
+        let transit_call_id = self.rng.random::<u64>().max(1);
         let leg = self.legs.get_mut(&leg_id).expect("known above");
-        (leg.transit_call_id, leg.processed_at_target) = (Some(id), true);
+        (leg.transit_call_id, leg.processed_at_target) = (Some(transit_call_id), true);
         let leg = &self.legs[&leg_id];
         let attributes =
             format!("dest:{};width:{};via:{};transit:1", leg.destination, leg.width, leg.controller);
-        let (number, description) = (leg.number.clone(), leg.description.clone());
-        let routing = (leg.class, leg.destination, until - self.now);
-        self.offer_call(node, id, CallOwner::Transit(leg_id), routing, &number, &attributes, &description);
+        let (number, description) = (leg.called_number.clone(), leg.description.clone());
+        let routing = (leg.class, leg.destination, deadline - self.now);
+        self.offer_call(
+            node,
+            transit_call_id,
+            CallOwner::Transit(leg_id),
+            routing,
+            &number,
+            &attributes,
+            &description,
+        );
     }
 
     fn turn_back(&mut self, leg_id: u64) {
@@ -391,7 +404,7 @@
     }
 
     /// Handles the answer of a tandem's controller to a call in transit.
-    pub(super) fn child_answered(&mut self, leg_id: u64, description: &[u8]) {
+    pub(super) fn transit_call_answered(&mut self, leg_id: u64, description: &[u8]) {
         let Some(leg) = self.legs.get_mut(&leg_id).filter(|leg| leg.state == LegState::SettingUp) else {
             return;
         };
@@ -402,7 +415,7 @@
     }
 
     /// Handles a refusal by a tandem's controller: the call is turned back.
-    pub(super) fn child_refused(&mut self, leg_id: u64) {
+    pub(super) fn transit_call_refused(&mut self, leg_id: u64) {
         let Some(leg) = self.legs.get(&leg_id) else { return };
         let overloaded =
             leg.child_leg.and_then(|c| self.legs.get(&c)).is_some_and(|c| c.refusal_cause == "overload");
@@ -419,7 +432,7 @@
     }
 
     /// Handles the loss of a call in transit with the connection to the tandem's controller.
-    pub(super) fn child_failed(&mut self, leg_id: u64) {
+    pub(super) fn transit_call_lost(&mut self, leg_id: u64) {
         if let Some(leg) = self.legs.get(&leg_id) {
             let (from, to) = (leg.target_node, leg.controller);
             let delay = self.delay(from, to);
@@ -483,7 +496,7 @@
             self.send(connection_id, &output);
             return self.cancel_leg(leg_id);
         }
-        let seen = Observation::ResponseFromNode {
+        let observation = Observation::ResponseFromNode {
             controller,
             id: call_id,
             code: 200,
@@ -491,7 +504,7 @@
             description: &answer,
         };
         if self.delivers_eventually(connection_id) {
-            self.auditor.observe(self.now, seen);
+            self.auditor.observe(self.now, observation);
         }
         self.send(connection_id, &output);
         if faulty {
@@ -631,7 +644,7 @@
         let first_leg = self.first_leg(leg_id);
         let Some(leg) = self.legs.get(&first_leg) else { return };
         let call_key = (leg.controller, leg.call_id);
-        self.release_chain(first_leg, 41);
+        self.release_chain(first_leg, CAUSE_TEMPORARY_FAILURE);
         if let Some(CallOwner::Caller(intent_id)) = self.callers.offered_calls.get(&call_key).map(|s| s.owner)
         {
             if self.intents.get(&intent_id).is_some_and(|intent| intent.stands_since.is_some()) {
@@ -677,8 +690,8 @@
         processor.alive = false;
         processor.queued_work = 0.0;
         processor.recent_cold_set_ups.clear();
-        for job in std::mem::take(&mut processor.queue) {
-            self.jobs.remove(&job);
+        for job_id in std::mem::take(&mut processor.queue) {
+            self.jobs.remove(&job_id);
         }
         let machine = self.machine_of_node[node];
         self.machines[machine].connect_outcome = connect_outcome;
--- a/rehearsal/src/world/processor.rs
+++ b/rehearsal/src/world/processor.rs
@@ -175,11 +175,11 @@
         let processor = &mut self.processors[node];
         processor.job_generation += 1;
         if let Some((id, since, rate)) = processor.current_job.take() {
-            let done = (self.now - since) as f64 * 1e-9 * rate;
+            let work_done = (self.now - since) as f64 * 1e-9 * rate;
             if let Some(job) = self.jobs.get_mut(&id) {
-                let done = done.min(job.work);
-                job.work -= done;
-                processor.queued_work = (processor.queued_work - done).max(0.0);
+                let work_done = work_done.min(job.work);
+                job.work -= work_done;
+                processor.queued_work = (processor.queued_work - work_done).max(0.0);
             }
             processor.queue.push_front(id);
         }
