--- a/ctl/src/dimension.rs
+++ b/ctl/src/dimension.rs
@@ -9,9 +9,9 @@
 use measured::calendar::Calendar;
 use measured::record::{decode, Interval};
 use serde::Serialize;
-use trunks::busy::{busy_hours, BusyHour, NamedDays, Rule, DAYS_WANTED};
-use trunks::offered::{by_group, Ends, GroupLoad};
-use trunks::plan::{network, size, spread, Aim, GroupPlan, Verdict};
+use trunks::busy::{busy_hours, BusyHour, BusyHourRule, NamedDays, MIN_DAYS};
+use trunks::offered::{loads_by_group, Ends, GroupLoad};
+use trunks::plan::{build_network, distribute_circuits, size_group, GroupPlan, LossTarget, Verdict};
 
 use crate::dimension_plots;
 
@@ -112,13 +112,13 @@
 const RESERVE_ROOTS: f64 = 0.4;
 
 fn network_loss(plans: &[GroupPlan]) -> Result<NetworkLoss, String> {
-    let solve = |roots| network(plans, roots).solve().map_err(|e| e.to_string());
+    let solve = |roots| build_network(plans, roots).solve().map_err(|e| e.to_string());
     let (with_reserve, without_reserve) = (solve(RESERVE_ROOTS)?, solve(0.0)?);
     Ok(NetworkLoss {
         loss: with_reserve.from_empty.total_loss,
         by_tandem: with_reserve.from_empty.by_tandem,
         converged: with_reserve.from_empty.converged,
-        rounds: with_reserve.from_empty.rounds,
+        rounds: with_reserve.from_empty.iterations,
         second_state: with_reserve.from_full.map(|s| s.total_loss),
         second_state_without_reserve: without_reserve.from_full.map(|s| s.total_loss),
     })
@@ -162,12 +162,12 @@
 fn remarks(hours: &BTreeMap<Ends, Vec<BusyHour>>, intervals: &[Interval]) -> Vec<String> {
     let mut remarks = Vec::new();
     let mut scarce_kinds: BTreeMap<String, usize> = BTreeMap::new();
-    for hour in hours.values().flatten().filter(|h| !h.enough()) {
+    for hour in hours.values().flatten().filter(|h| !h.has_enough_days()) {
         scarce_kinds.insert(hour.kind.name().into(), hour.days);
     }
     for (kind, days) in scarce_kinds {
         remarks.push(format!(
-            "{days} days of the kind '{kind}': fewer than {DAYS_WANTED} weeks do not show how such days differ"
+            "{days} days of the kind '{kind}': fewer than {MIN_DAYS} weeks do not show how such days differ"
         ));
     }
     let kinds: Vec<&str> = hours.values().flatten().map(|h| h.kind.name()).collect();
@@ -194,8 +194,12 @@
 /// Runs the command.
 pub fn run(arguments: &Dimension) -> Result<ExitCode, String> {
     let by_class = arguments.class_loss.iter().cloned().collect();
-    let aim =
-        Aim { loss: arguments.loss, by_class, peakedness: arguments.peakedness, price: arguments.price };
+    let aim = LossTarget {
+        loss: arguments.loss,
+        by_class,
+        peakedness: arguments.peakedness,
+        price: arguments.price,
+    };
     if !(aim.loss > 0.0 && aim.loss < 1.0) {
         return Err(format!("--loss {}: must be above 0 and below 1", aim.loss));
     }
@@ -211,12 +215,12 @@
     }
     let calendar = Calendar::new(&zone, 15).map_err(|e| e.to_string())?;
     let named: NamedDays = arguments.day.iter().cloned().collect();
-    let rule = arguments.nth.map_or(Rule::TimeConsistent, |n| Rule::Nth(n as usize));
-    let loads = by_group(&intervals);
+    let rule = arguments.nth.map_or(BusyHourRule::TimeConsistent, |n| BusyHourRule::NthHighest(n as usize));
+    let loads = loads_by_group(&intervals);
     let (mut hours, mut groups) = (BTreeMap::new(), Vec::new());
     for (ends, loads) in &loads {
         let found = busy_hours(loads, &calendar, &named, rule);
-        groups.extend(size(*ends, present_circuits(loads), &found, &aim).map_err(|e| e.to_string())?);
+        groups.extend(size_group(*ends, present_circuits(loads), &found, &aim).map_err(|e| e.to_string())?);
         hours.insert(*ends, found);
     }
     if groups.is_empty() {
@@ -224,7 +228,7 @@
     }
     let circuits: u32 = groups.iter().map(|g| g.present).sum();
     let means: Vec<f64> = groups.iter().map(|g| g.hour.load.mean).collect();
-    let best_use = spread(&means, circuits).map_err(|e| e.to_string())?;
+    let best_use = distribute_circuits(&means, circuits).map_err(|e| e.to_string())?;
     let plan = Plan {
         loss: aim.loss,
         peakedness: aim.peakedness,
--- a/ctl/src/dimension_plots.rs
+++ b/ctl/src/dimension_plots.rs
@@ -7,7 +7,7 @@
 use plotters::prelude::*;
 use trunks::offered::{Ends, GroupLoad};
 use trunks::overflow::{self, Stream};
-use trunks::plan::{Aim, GroupPlan};
+use trunks::plan::{GroupPlan, LossTarget};
 
 /// Number of groups that are plotted: those with the highest load.
 const MAX_PLOTTED_GROUPS: usize = 6;
@@ -29,7 +29,7 @@
     loads: &BTreeMap<Ends, Vec<GroupLoad>>,
     calendar: &Calendar,
     plans: &[GroupPlan],
-    aim: &Aim,
+    aim: &LossTarget,
 ) -> Result<Vec<PathBuf>, Error> {
     std::fs::create_dir_all(folder)?;
     let mut by_load: Vec<&GroupPlan> = plans.iter().collect();
@@ -101,7 +101,7 @@
 }
 
 /// Draws a group's loss in the busy hour against its number of circuits, for the load and the ends of its interval.
-fn draw_loss_by_circuits(file: &Path, plan: &GroupPlan, aim: &Aim) -> Result<(), Error> {
+fn draw_loss_by_circuits(file: &Path, plan: &GroupPlan, aim: &LossTarget) -> Result<(), Error> {
     let load = plan.hour.load;
     let high = if load.high.is_finite() { load.high } else { 2.0 * load.mean };
     let from = (load.low * 0.9).floor().max(0.0);
@@ -122,7 +122,7 @@
             .zip(COLOURS)
     {
         let steps = (0..=CURVE_STEPS).map(|i| from + (to - from) * f64::from(i) / f64::from(CURVE_STEPS));
-        let points: Result<Vec<(f64, f64)>, trunks::BadFigure> =
+        let points: Result<Vec<(f64, f64)>, trunks::InvalidInput> =
             steps.map(|n| Ok((n, overflow::loss(Stream::peaked(mean, aim.peakedness), n)?))).collect();
         let points = points?.into_iter().filter(|(_, b)| *b >= MIN_PLOTTED_LOSS);
         chart
--- a/ctl/src/erlang.rs
+++ b/ctl/src/erlang.rs
@@ -27,7 +27,7 @@
 pub fn run(arguments: &Erlang) -> Result<ExitCode, String> {
     // Checked here because a stream holds its mean and variance, which do not give the peakedness of a load of 0.
     if !(arguments.peakedness > 0.0 && arguments.peakedness <= 100.0) {
-        return Err(trunks::BadFigure::Peakedness(arguments.peakedness).to_string());
+        return Err(trunks::InvalidInput::Peakedness(arguments.peakedness).to_string());
     }
     let stream = Stream::peaked(arguments.offered, arguments.peakedness);
     match (arguments.loss, arguments.circuits) {
--- a/ctl/tests/command_line.rs
+++ b/ctl/tests/command_line.rs
@@ -84,7 +84,7 @@
 /// Writes the intervals of four weeks at both ends of one group with 60 circuits: 5 E, and 60 E on Saturdays from 10 to
 /// 12 o'clock.
 fn write_four_weeks(folder: &Path) {
-    use measured::record::{encode, ClassFigures, GroupFigures, Holding, Interval};
+    use measured::record::{encode, ClassFigures, GroupFigures, HoldingFigures, Interval};
     let (quarter_hour_ms, monday_ms) = (900_000i64, 1_777_845_600_000i64); // 2026-05-04 00:00 in Prague
     for n in 0..28 * 96i64 {
         let (day, quarter) = (n / 96, n % 96);
@@ -101,7 +101,7 @@
                 classes: vec![class],
                 ..Default::default()
             };
-            let held = Holding {
+            let held = HoldingFigures {
                 class: "result-view".into(),
                 calls,
                 seconds: 100.0 * calls as f64,
--- a/dillhold/src/call/mod.rs
+++ b/dillhold/src/call/mod.rs
@@ -194,21 +194,21 @@
         let longest_deadline = self.module_settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let home = self.module_settings.home_exchange.unwrap_or(self.module_settings.controller_index);
         let meter = Meter::new(home, classes, calendar, unix_ms(longest_deadline), unix_ms(now));
-        self.deadlines.add(meter.ends() as Nanos * MS, Deadline::IntervalEnd);
+        self.deadlines.add(meter.interval_end() as Nanos * MS, Deadline::IntervalEnd);
         self.meter = Some(meter);
     }
 
     /// Closes the intervals that have ended. With `stop`, also cuts the current one and stops measuring.
     pub fn close_intervals(&mut self, now: Nanos, stop: bool) {
         let Some(meter) = &mut self.meter else { return };
-        while let Some(interval) = meter.roll(unix_ms(now)) {
+        while let Some(interval) = meter.close_elapsed(unix_ms(now)) {
             self.intervals.push_back(interval);
         }
         if stop {
-            self.intervals.extend(meter.cut(unix_ms(now)));
+            self.intervals.extend(meter.close_partial(unix_ms(now)));
             self.meter = None;
         } else {
-            self.deadlines.add(meter.ends() as Nanos * MS, Deadline::IntervalEnd);
+            self.deadlines.add(meter.interval_end() as Nanos * MS, Deadline::IntervalEnd);
         }
     }
 
@@ -425,7 +425,7 @@
             Some(set_up.called_number).filter(|n| !n.is_empty()).map(|n| self.number_handles.handle(now, n));
         if let (Some(meter), Some(call)) = (&mut self.meter, self.calls_by_id.get_mut(&set_up.call_id)) {
             call.number_handle = dialled;
-            meter.offered(unix_ms(now), call.metered(), dialled, set_up.after_cut);
+            meter.record_offered(unix_ms(now), call.metered(), dialled, set_up.after_cut);
         }
         self.dispatch_event(
             now,
@@ -515,7 +515,7 @@
                 }
                 let measurable = number.zip(report.free_circuits).zip(report.group_size);
                 if let (Some(meter), Some(((number, free), size))) = (&mut self.meter, measurable) {
-                    meter.state(unix_ms(now), number, free, size);
+                    meter.record_group_state(unix_ms(now), number, free, size);
                 }
                 self.dispatch_event(
                     now,
@@ -545,7 +545,7 @@
         (call.pending_attempt, call.answered_attempt, call.stands_since) = (None, Some(attempt), now);
         if let Some(meter) = &mut self.meter {
             let route = self.directory.machine(attempt.exchange).map_or(call.destination, |m| m.number);
-            meter.stood(call.metered(), route, call.number_handle);
+            meter.record_standing(call.metered(), route, call.number_handle);
         }
         (call.called_number, call.description) = (Vec::new(), Vec::new());
         let (handle, conn) = (call.handle, call.caller_conn);
@@ -713,7 +713,7 @@
     fn remove_call(&mut self, now: Nanos, id: u64, retire_id: bool) {
         if let Some(call) = self.calls_by_id.remove(&id) {
             if let (Some(meter), None) = (&mut self.meter, call.answered_attempt) {
-                meter.lost(call.metered());
+                meter.record_lost(call.metered());
             }
             self.ids_by_handle.remove(&call.handle);
             if let Some(attempt) = call.answered_attempt {
--- a/dillhold/src/call/standing.rs
+++ b/dillhold/src/call/standing.rs
@@ -126,7 +126,7 @@
         let Some(call) = self.calls_by_id.get(&id) else { return };
         let Some(attempt) = call.answered_attempt else { return };
         if let (Some(meter), Outcome::Completed) = (&mut self.meter, outcome) {
-            meter.held(call.class, unix_ms(now - call.stands_since));
+            meter.record_holding_time(call.class, unix_ms(now - call.stands_since));
         }
         self.end_attempt(now, id, attempt, (outcome, Cause::Untold, LoadReport::default()));
         self.remove_call(now, id, true);
--- a/dillhold/src/operator.rs
+++ b/dillhold/src/operator.rs
@@ -2,9 +2,9 @@
 
 use std::path::{Path, PathBuf};
 
-use measured::calendar::{BadCalendar, Calendar};
+use measured::calendar::{Calendar, CalendarError};
 use serde::Deserialize;
-use settings::{key, Misread};
+use settings::{key, FileError};
 
 /// The default path of the file, relative to the working directory.
 pub const DEFAULT_PATH: &str = "deploy/dillhold.json5";
@@ -36,34 +36,34 @@
 
 impl Measure {
     /// The calendar of the intervals.
-    pub fn calendar(&self) -> Result<Calendar, BadCalendar> {
+    pub fn calendar(&self) -> Result<Calendar, CalendarError> {
         Calendar::new(&self.time_zone, self.interval_minutes)
     }
 }
 
 /// Reads the operator's file. A file named explicitly must exist; the one at the default path need not.
-pub fn read(explicit_path: Option<&str>) -> Result<Operator, Misread> {
+pub fn read(explicit_path: Option<&str>) -> Result<Operator, FileError> {
     let path = Path::new(explicit_path.unwrap_or(DEFAULT_PATH));
     if explicit_path.is_none() && !path.exists() {
         return Ok(Operator::default());
     }
-    parse(&path.display().to_string(), &settings::text(path)?)
+    parse(&path.display().to_string(), &settings::read_text(path)?)
 }
 
 /// Parses the text of an operator's file. Errors name `file`.
-pub fn parse(file: &str, text: &str) -> Result<Operator, Misread> {
+pub fn parse(file: &str, text: &str) -> Result<Operator, FileError> {
     let operator: Operator = settings::parse(file, text)?;
     if let Some(measure) = &operator.measure {
         measure.calendar().map_err(|e| {
             let setting = match e {
-                BadCalendar::Zone(_) => "time_zone",
-                BadCalendar::Minutes(_) => "interval_minutes",
+                CalendarError::UnknownZone(_) => "time_zone",
+                CalendarError::InvalidMinutes(_) => "interval_minutes",
             };
-            settings::refuse(file, text, &[key("measure"), key(setting)], e.to_string())
+            settings::invalid_value(file, text, &[key("measure"), key(setting)], e.to_string())
         })?;
         if measure.folder.as_os_str().is_empty() {
             let path = [key("measure"), key("folder")];
-            return Err(settings::refuse(file, text, &path, "no folder is named".into()));
+            return Err(settings::invalid_value(file, text, &path, "no folder is named".into()));
         }
     }
     Ok(operator)
--- a/measured/src/calendar.rs
+++ b/measured/src/calendar.rs
@@ -6,29 +6,31 @@
 use jiff::Timestamp;
 
 /// Minutes that an interval may have: divisors of a day, so that each day has the same ones.
-pub const MINUTES: [u32; 12] = [1, 2, 3, 5, 6, 10, 12, 15, 20, 30, 60, 120];
+pub const ALLOWED_INTERVAL_MINUTES: [u32; 12] = [1, 2, 3, 5, 6, 10, 12, 15, 20, 30, 60, 120];
 
 /// A calendar that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadCalendar {
+pub enum CalendarError {
     /// No time zone has this name.
-    Zone(String),
+    UnknownZone(String),
     /// An interval cannot have so many minutes.
-    Minutes(u32),
+    InvalidMinutes(u32),
 }
 
-impl fmt::Display for BadCalendar {
+impl fmt::Display for CalendarError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Zone(name) => {
+            Self::UnknownZone(name) => {
                 write!(f, "there is no time zone '{name}' (one like Europe/Prague is needed)")
             }
-            Self::Minutes(n) => write!(f, "intervals of {n} minutes: one of {MINUTES:?} is needed"),
+            Self::InvalidMinutes(n) => {
+                write!(f, "intervals of {n} minutes: one of {ALLOWED_INTERVAL_MINUTES:?} is needed")
+            }
         }
     }
 }
 
-impl std::error::Error for BadCalendar {}
+impl std::error::Error for CalendarError {}
 
 /// Cuts time into intervals.
 #[derive(Clone, Debug)]
@@ -49,10 +51,10 @@
 
 impl Calendar {
     /// Intervals of so many minutes by the clocks of a time zone.
-    pub fn new(zone: &str, minutes: u32) -> Result<Calendar, BadCalendar> {
-        let found = TimeZone::get(zone).map_err(|_| BadCalendar::Zone(zone.into()))?;
-        if !MINUTES.contains(&minutes) {
-            return Err(BadCalendar::Minutes(minutes));
+    pub fn new(zone: &str, minutes: u32) -> Result<Calendar, CalendarError> {
+        let found = TimeZone::get(zone).map_err(|_| CalendarError::UnknownZone(zone.into()))?;
+        if !ALLOWED_INTERVAL_MINUTES.contains(&minutes) {
+            return Err(CalendarError::InvalidMinutes(minutes));
         }
         Ok(Calendar { zone: found, name: zone.into(), millis: i64::from(minutes) * 60_000 })
     }
@@ -86,10 +88,10 @@
     }
 
     /// A moment on the zone's clock: year, month, day, weekday (Monday is 1), hour and minute.
-    pub fn local(&self, unix_ms: i64) -> Local {
+    pub fn local(&self, unix_ms: i64) -> LocalTime {
         let at = Timestamp::from_millisecond(unix_ms).unwrap_or(Timestamp::UNIX_EPOCH);
         let local = self.zone.to_datetime(at);
-        Local {
+        LocalTime {
             date: (local.year(), local.month(), local.day()),
             weekday: local.weekday().to_monday_one_offset(),
             hour: local.hour(),
@@ -100,7 +102,7 @@
 
 /// A moment on a zone's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Local {
+pub struct LocalTime {
     /// Year, month and day.
     pub date: (i16, i8, i8),
     /// Day of the week; Monday is 1.
--- a/measured/src/meter.rs
+++ b/measured/src/meter.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 
 use crate::calendar::{Calendar, Span};
-use crate::record::{ClassFigures, GroupFigures, Holding, Interval};
+use crate::record::{ClassFigures, GroupFigures, HoldingFigures, Interval};
 
 /// Groups that are kept at the most, tandems of one class on one group, and numbers of callers to come back.
 const GROUPS: usize = 1024;
@@ -102,7 +102,7 @@
     }
 
     /// When the present interval ends.
-    pub fn ends(&self) -> i64 {
+    pub fn interval_end(&self) -> i64 {
         self.span.to
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// A call came. `number` names who is called, where that is told; `again`: it was cut and comes again.
-    pub fn offered(&mut self, now: i64, call: Call, number: Option<u64>, again: bool) {
+    pub fn record_offered(&mut self, now: i64, call: Call, number: Option<u64>, again: bool) {
         let back = number.is_some_and(|n| !call.transit && self.comes_back(now, n));
         let Some(f) = self.figures(call.destination, call.class) else { return };
         match (call.transit, back || again) {
@@ -148,7 +148,7 @@
     }
 
     /// A call stands by way of an exchange: that it is for, or a tandem.
-    pub fn stood(&mut self, call: Call, by: u32, number: Option<u64>) {
+    pub fn record_standing(&mut self, call: Call, by: u32, number: Option<u64>) {
         if let Some(n) = number {
             for tried in &mut self.tried {
                 tried.remove(&n);
@@ -172,14 +172,14 @@
     }
 
     /// A call came to nothing.
-    pub fn lost(&mut self, call: Call) {
+    pub fn record_lost(&mut self, call: Call) {
         if let (false, Some(f)) = (call.transit, self.figures(call.destination, call.class)) {
             f.lost += 1;
         }
     }
 
     /// A call came to its natural end after so many milliseconds.
-    pub fn held(&mut self, class: usize, millis: i64) {
+    pub fn record_holding_time(&mut self, class: usize, millis: i64) {
         if let Some(h) = self.held.get_mut(class) {
             let seconds = millis.max(0) as f64 * 1e-3;
             h.calls += 1;
@@ -190,7 +190,7 @@
     }
 
     /// The state of the group to an exchange.
-    pub fn state(&mut self, now: i64, to: u32, free: f64, size: f64) {
+    pub fn record_group_state(&mut self, now: i64, to: u32, free: f64, size: f64) {
         if !(free.is_finite() && size.is_finite() && free >= 0.0 && size >= 0.0) {
             return;
         }
@@ -202,7 +202,7 @@
 
     /// Closes the present interval if it is over. To be called again until it gives nothing: after a long pause
     /// several intervals are over.
-    pub fn roll(&mut self, now: i64) -> Option<Interval> {
+    pub fn close_elapsed(&mut self, now: i64) -> Option<Interval> {
         if now < self.span.to {
             return None;
         }
@@ -210,7 +210,7 @@
     }
 
     /// Closes the present interval before it is over, for counting ends.
-    pub fn cut(&mut self, now: i64) -> Option<Interval> {
+    pub fn close_partial(&mut self, now: i64) -> Option<Interval> {
         (now > self.since.max(self.span.from) && now < self.span.to).then(|| self.close(now))
     }
 
@@ -232,13 +232,14 @@
             groups.push(figures);
         }
         let held = std::mem::replace(&mut self.held, (0..self.classes.len()).map(|_| held()).collect());
-        let holding = self.classes.iter().zip(held).filter(|(_, h)| h.calls > 0).map(|(class, h)| Holding {
-            class: class.name.clone(),
-            calls: h.calls,
-            seconds: h.seconds,
-            squares: h.squares,
-            quantiles: [0.5, 0.9, 0.99].map(|q| h.millis.value_at_quantile(q) as f64 * 1e-3),
-        });
+        let holding =
+            self.classes.iter().zip(held).filter(|(_, h)| h.calls > 0).map(|(class, h)| HoldingFigures {
+                class: class.name.clone(),
+                calls: h.calls,
+                seconds: h.seconds,
+                squares: h.squares,
+                quantiles: [0.5, 0.9, 0.99].map(|q| h.millis.value_at_quantile(q) as f64 * 1e-3),
+            });
         let interval = Interval {
             exchange: self.exchange,
             from: span.from,
@@ -257,7 +258,7 @@
     }
 
     /// Groups that are kept now.
-    pub fn groups(&self) -> usize {
+    pub fn group_count(&self) -> usize {
         self.groups.len()
     }
 }
--- a/measured/src/record.rs
+++ b/measured/src/record.rs
@@ -57,14 +57,14 @@
 
 /// How long calls of one class held.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct HoldingFigures {
     /// Name of the class.
     pub class: String,
     /// Calls that came to their natural end.
     pub calls: u64,
     /// Seconds that they held, summed, and the sum of their squares.
     pub seconds: f64,
-    /// See [`Holding::seconds`].
+    /// See [`HoldingFigures::seconds`].
     pub squares: f64,
     /// Half of them, nine of ten and ninety-nine of a hundred held no longer than so many seconds.
     pub quantiles: [f64; 3],
@@ -86,7 +86,7 @@
     /// Its groups.
     pub groups: Vec<GroupFigures>,
     /// Its holding times.
-    pub holding: Vec<Holding>,
+    pub holding: Vec<HoldingFigures>,
     /// What was not counted for want of room.
     pub uncounted: u64,
 }
@@ -113,39 +113,39 @@
 
 /// Why a file is not used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadRecord {
+pub enum RecordError {
     /// It is no interval of a controller at all.
-    Foreign,
+    UnknownFormat,
     /// It was written by a later version.
-    Later(u32),
+    NewerVersion(u32),
     /// It ends before its end.
-    CutOff {
+    Truncated {
         /// Bytes that there are.
-        there: usize,
+        actual: usize,
         /// Bytes that there should be.
-        wanted: usize,
+        expected: usize,
     },
     /// It was changed since it was written.
-    Checksum,
+    ChecksumMismatch,
     /// Its checksum holds, but its figures cannot be.
-    Senseless(String),
+    InvalidFigures(String),
 }
 
-impl fmt::Display for BadRecord {
+impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Foreign => write!(f, "no interval that a controller measured"),
-            Self::Later(v) => {
+            Self::UnknownFormat => write!(f, "no interval that a controller measured"),
+            Self::NewerVersion(v) => {
                 write!(f, "written by a later version (form {v}, {VERSION} is the newest known)")
             }
-            Self::CutOff { there, wanted } => write!(f, "cut off: {there} of {wanted} bytes"),
-            Self::Checksum => write!(f, "changed since it was written: the checksum does not hold"),
-            Self::Senseless(what) => write!(f, "figures that cannot be: {what}"),
+            Self::Truncated { actual, expected } => write!(f, "cut off: {actual} of {expected} bytes"),
+            Self::ChecksumMismatch => write!(f, "changed since it was written: the checksum does not hold"),
+            Self::InvalidFigures(what) => write!(f, "figures that cannot be: {what}"),
         }
     }
 }
 
-impl std::error::Error for BadRecord {}
+impl std::error::Error for RecordError {}
 
 /// Writes an interval down.
 pub fn encode(interval: &Interval) -> Vec<u8> {
@@ -160,24 +160,25 @@
 }
 
 /// Reads an interval.
-pub fn decode(bytes: &[u8]) -> Result<Interval, BadRecord> {
+pub fn decode(bytes: &[u8]) -> Result<Interval, RecordError> {
     let line = bytes.iter().take(1024).position(|b| *b == b'\n');
     let head: Option<Head> = line.and_then(|end| serde_json::from_slice(&bytes[..end]).ok());
     let Some((head, end)) = head.zip(line).filter(|(h, _)| h.format == FORMAT && h.bytes <= LONGEST) else {
-        return Err(BadRecord::Foreign);
+        return Err(RecordError::UnknownFormat);
     };
     if head.version > VERSION {
-        return Err(BadRecord::Later(head.version));
+        return Err(RecordError::NewerVersion(head.version));
     }
     let body = &bytes[end + 1..];
     if body.len() < head.bytes {
-        return Err(BadRecord::CutOff { there: body.len(), wanted: head.bytes });
+        return Err(RecordError::Truncated { actual: body.len(), expected: head.bytes });
     }
     if body.len() > head.bytes || blake3::hash(body).to_hex().as_str() != head.checksum {
-        return Err(BadRecord::Checksum);
+        return Err(RecordError::ChecksumMismatch);
     }
-    let interval: Interval = serde_json::from_slice(body).map_err(|e| BadRecord::Senseless(e.to_string()))?;
-    check(&interval).map_err(BadRecord::Senseless)?;
+    let interval: Interval =
+        serde_json::from_slice(body).map_err(|e| RecordError::InvalidFigures(e.to_string()))?;
+    check(&interval).map_err(RecordError::InvalidFigures)?;
     Ok(interval)
 }
 
--- a/rehearsal/src/script.rs
+++ b/rehearsal/src/script.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use serde::Deserialize;
-use settings::{key, Misread, Step};
+use settings::{key, FileError, PathSegment};
 
 /// Maximum for all durations in a script.
 const MAX_DURATION_SECONDS: f64 = 24.0 * 3600.0;
@@ -490,14 +490,14 @@
 
 impl Script {
     /// Reads a script from a file.
-    pub fn load(path: &Path) -> Result<Script, Misread> {
-        Script::parse(&path.display().to_string(), &settings::text(path)?)
+    pub fn load(path: &Path) -> Result<Script, FileError> {
+        Script::parse(&path.display().to_string(), &settings::read_text(path)?)
     }
 
     /// Parses a script; `file` is its name in errors.
-    pub fn parse(file: &str, text: &str) -> Result<Script, Misread> {
+    pub fn parse(file: &str, text: &str) -> Result<Script, FileError> {
         let script: Script = settings::parse(file, text)?;
-        script.validate().map_err(|(path, what)| settings::refuse(file, text, &path, what))?;
+        script.validate().map_err(|(path, what)| settings::invalid_value(file, text, &path, what))?;
         Ok(script)
     }
 
@@ -539,9 +539,9 @@
     }
 
     /// Checks the conditions that the types of the single values do not express.
-    fn validate(&self) -> Result<(), (Vec<Step>, String)> {
-        use Step::Index;
-        let error = |path: Vec<Step>, what: String| Err((path, what));
+    fn validate(&self) -> Result<(), (Vec<PathSegment>, String)> {
+        use PathSegment::Index;
+        let error = |path: Vec<PathSegment>, what: String| Err((path, what));
         if !(3..=200).contains(&self.nodes) {
             return error(vec![key("nodes")], format!("{}: must be between 3 and 200", self.nodes));
         }
--- a/rehearsal/tests/dimension.rs
+++ b/rehearsal/tests/dimension.rs
@@ -6,7 +6,7 @@
 use rehearsal::script::Script;
 use trunks::erlang;
 use trunks::network::{Demand, Group, Network};
-use trunks::offered::{by_group, holding};
+use trunks::offered::{holding_stats, loads_by_group};
 use trunks::widths::{self, Class};
 
 /// The Unix time at which the 600 s of offered calls end, in milliseconds.
@@ -34,14 +34,14 @@
         let whole: Vec<_> = found.intervals.into_iter().filter(|i| i.measured == (i.from, i.to)).collect();
         let whole: Vec<_> = whole.into_iter().filter(|i| i.to <= OFFERING_END_MS).collect();
         assert_eq!(whole.len(), 4 * 10, "ten whole minutes at each of four exchanges");
-        let hold = holding(&whole)["view"].mean().unwrap();
+        let hold = holding_stats(&whole)["view"].mean().unwrap();
         assert!((hold - 6.0).abs() < 0.6, "{hold}");
-        for (ends, loads) in by_group(&whole) {
+        for (ends, loads) in loads_by_group(&whole) {
             assert!(loads.iter().all(|l| l.both_ends && l.circuits > 0.0));
             let calls: u64 = loads.iter().map(|l| l.classes["view"].calls).sum();
             redials += loads.iter().map(|l| l.classes["view"].redials).sum::<u64>();
             let seconds: f64 = loads.iter().map(|l| l.seconds).sum();
-            let load = trunks::offered::from_arrivals(calls, seconds, &holding(&whole)["view"]);
+            let load = trunks::offered::load_from_arrivals(calls, seconds, &holding_stats(&whole)["view"]);
             let offered_load = found.offered[&("view".to_string(), ends)];
             covered += u32::from(load.low <= offered_load && offered_load <= load.high);
             total += 1;
@@ -62,9 +62,9 @@
         .into_iter()
         .filter(|i| i.measured == (i.from, i.to) && i.to <= OFFERING_END_MS)
         .collect();
-    let both_ends = by_group(&whole);
+    let both_ends = loads_by_group(&whole);
     let exchange_0: Vec<_> = whole.iter().filter(|i| i.exchange == 0).cloned().collect();
-    for (ends, loads) in by_group(&exchange_0) {
+    for (ends, loads) in loads_by_group(&exchange_0) {
         let (one_end, two_ends) = (loads[0].circuits_offered(), both_ends[&ends][0].circuits_offered());
         assert!(!loads[0].both_ends && both_ends[&ends][0].both_ends);
         assert!(one_end.high - one_end.low > two_ends.high - two_ends.low, "{one_end:?} {two_ends:?}");
@@ -109,7 +109,7 @@
     let probe = uniform_script(600, VIEW, 12.0, 40, "transit: false");
     let found = rehearse_measured(&probe, 11, &calendar).unwrap();
     let whole: Vec<_> = found.intervals.into_iter().filter(|i| i.measured == (i.from, i.to)).collect();
-    let loads = by_group(&whole);
+    let loads = loads_by_group(&whole);
     let mean = loads.values().map(|l| l[0].circuits_offered().mean).sum::<f64>() / loads.len() as f64;
     let needed = erlang::circuits(mean, 0.05).unwrap();
     assert!(needed.abs_diff(erlang::circuits(12.0, 0.05).unwrap()) <= 1, "{needed} for {mean} E");
@@ -179,11 +179,11 @@
             .into_iter()
             .filter(|i| i.measured == (i.from, i.to) && i.to <= OFFERING_END_MS)
             .collect();
-        let hold = holding(&whole);
-        for (ends, loads) in by_group(&whole) {
+        let hold = holding_stats(&whole);
+        for (ends, loads) in loads_by_group(&whole) {
             let calls: u64 = loads.iter().map(|l| l.classes["view"].calls).sum();
             let seconds: f64 = loads.iter().map(|l| l.seconds).sum();
-            let load = trunks::offered::from_arrivals(calls, seconds, &hold["view"]);
+            let load = trunks::offered::load_from_arrivals(calls, seconds, &hold["view"]);
             let offered_load = found.offered[&("view".to_string(), ends)];
             covered += u32::from(load.low <= offered_load && offered_load <= load.high);
             total += 1;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -12,7 +12,7 @@
 
 /// What is wrong with a file, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Misread {
+pub struct FileError {
     /// The file.
     pub file: String,
     /// Line and column, from 1, where they are known.
@@ -23,7 +23,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Misread {
+impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
         if let Some((line, column)) = self.place {
@@ -36,11 +36,11 @@
     }
 }
 
-impl std::error::Error for Misread {}
+impl std::error::Error for FileError {}
 
 /// One step of the path to a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum PathSegment {
     /// A key of an object.
     Key(String),
     /// A place in an array, from 0.
@@ -48,26 +48,26 @@
 }
 
 /// The step to a key.
-pub fn key(key: &str) -> Step {
-    Step::Key(key.into())
+pub fn key(key: &str) -> PathSegment {
+    PathSegment::Key(key.into())
 }
 
 /// Reads the text of a file; `file` is only named in errors.
-pub fn parse<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, Misread> {
+pub fn parse<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, FileError> {
     let read = serde_path_to_error::deserialize(&mut json5::Deserializer::from_str(text));
     read.map_err(|e| {
         use serde_path_to_error::Segment;
         let path = e.path().iter().filter_map(|s| match s {
-            Segment::Seq { index } => Some(Step::Index(*index)),
-            Segment::Map { key } => Some(Step::Key(key.clone())),
+            Segment::Seq { index } => Some(PathSegment::Index(*index)),
+            Segment::Map { key } => Some(PathSegment::Key(key.clone())),
             _ => None,
         });
-        let path: Vec<Step> = path.collect();
+        let path: Vec<PathSegment> = path.collect();
         // What is no JSON5 has a place of its own; else the place is that of the value.
         let syntax = e.inner().code().is_some() || path.is_empty();
         let found = if syntax { None } else { locate(text, &path) };
         let what = e.inner().to_string();
-        Misread {
+        FileError {
             file: file.into(),
             place: found.or_else(|| place(e.inner())),
             key: e.path().to_string(),
@@ -77,8 +77,8 @@
 }
 
 /// Reads a whole file as text.
-pub fn text(path: &Path) -> Result<String, Misread> {
-    std::fs::read_to_string(path).map_err(|e| Misread {
+pub fn read_text(path: &Path) -> Result<String, FileError> {
+    std::fs::read_to_string(path).map_err(|e| FileError {
         file: path.display().to_string(),
         place: None,
         key: String::new(),
@@ -87,15 +87,15 @@
 }
 
 /// Says that the value at a path is refused, for a reason that its type alone cannot know.
-pub fn refuse(file: &str, text: &str, path: &[Step], what: String) -> Misread {
+pub fn invalid_value(file: &str, text: &str, path: &[PathSegment], what: String) -> FileError {
     let mut key = String::new();
     for step in path {
         match step {
-            Step::Key(k) => key.push_str(&format!("{}{k}", if key.is_empty() { "" } else { "." })),
-            Step::Index(i) => key.push_str(&format!("[{i}]")),
+            PathSegment::Key(k) => key.push_str(&format!("{}{k}", if key.is_empty() { "" } else { "." })),
+            PathSegment::Index(i) => key.push_str(&format!("[{i}]")),
         }
     }
-    Misread { file: file.into(), place: locate(text, path), key, what }
+    FileError { file: file.into(), place: locate(text, path), key, what }
 }
 
 fn place(e: &json5::Error) -> Option<(usize, usize)> {
@@ -103,13 +103,13 @@
 }
 
 /// Line and column of the value at a path.
-fn locate(text: &str, path: &[Step]) -> Option<(usize, usize)> {
+fn locate(text: &str, path: &[PathSegment]) -> Option<(usize, usize)> {
     let found = Locate(path).deserialize(&mut json5::Deserializer::from_str(text)).err();
     found.as_ref().and_then(place)
 }
 
 /// Walks to the value of a path and fails there: the reader adds the place.
-struct Locate<'a>(&'a [Step]);
+struct Locate<'a>(&'a [PathSegment]);
 
 impl<'de> DeserializeSeed<'de> for Locate<'_> {
     type Value = ();
@@ -153,7 +153,7 @@
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
         self.found()?;
         while let Some(name) = map.next_key::<String>()? {
-            if self.0[0] == Step::Key(name) {
+            if self.0[0] == PathSegment::Key(name) {
                 map.next_value_seed(Locate(&self.0[1..]))?;
             } else {
                 map.next_value::<IgnoredAny>()?;
@@ -164,7 +164,7 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
         self.found()?;
         for index in 0.. {
-            let found = if self.0[0] == Step::Index(index) {
+            let found = if self.0[0] == PathSegment::Index(index) {
                 seq.next_element_seed(Locate(&self.0[1..]))?.is_some()
             } else {
                 seq.next_element::<IgnoredAny>()?.is_some()
--- a/trunks/src/busy.rs
+++ b/trunks/src/busy.rs
@@ -8,17 +8,17 @@
 use measured::calendar::Calendar;
 use serde::Serialize;
 
-use crate::offered::{GroupLoad, Load};
+use crate::offered::{GroupLoad, LoadEstimate};
 
 /// Days of a kind that make a mean worth relying on: four weeks have four of each weekday.
-pub const DAYS_WANTED: usize = 4;
+pub const MIN_DAYS: usize = 4;
 /// Minutes of an hour that must have been measured for the hour to count.
 const MEASURED: f64 = 50.0 * 60.0;
 
 /// A kind of day.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum DayKind {
     /// Monday to Friday.
     Weekday,
     /// Saturday.
@@ -29,25 +29,25 @@
     Named(String),
 }
 
-impl Kind {
+impl DayKind {
     /// What it is called.
     pub fn name(&self) -> &str {
         match self {
-            Kind::Weekday => "weekday",
-            Kind::Saturday => "saturday",
-            Kind::Sunday => "sunday",
-            Kind::Named(name) => name,
+            DayKind::Weekday => "weekday",
+            DayKind::Saturday => "saturday",
+            DayKind::Sunday => "sunday",
+            DayKind::Named(name) => name,
         }
     }
 }
 
 /// Which hour is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
+pub enum BusyHourRule {
     /// The hour of the clock that is highest on the mean over the days of its kind.
     TimeConsistent,
     /// The n-th highest hour of all days of the kind; 1 is the highest.
-    Nth(usize),
+    NthHighest(usize),
 }
 
 /// Days that have a name of their own, by date.
@@ -57,13 +57,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BusyHour {
     /// The kind of day.
-    pub kind: Kind,
+    pub kind: DayKind,
     /// Minute of the day at which it begins.
     pub minute: u32,
-    /// Load of each class in calls, by name, with its interval.
-    pub classes: BTreeMap<String, (u32, Load)>,
+    /// LoadEstimate of each class in calls, by name, with its interval.
+    pub classes: BTreeMap<String, (u32, LoadEstimate)>,
     /// All classes together, in circuits.
-    pub load: Load,
+    pub load: LoadEstimate,
     /// Calls in transit over it, in circuits.
     pub transit: f64,
     /// Days of the kind that had this hour.
@@ -78,8 +78,8 @@
 
 impl BusyHour {
     /// Whether there are enough days to rely on it.
-    pub fn enough(&self) -> bool {
-        self.days >= DAYS_WANTED || matches!(self.kind, Kind::Named(_))
+    pub fn has_enough_days(&self) -> bool {
+        self.days >= MIN_DAYS || matches!(self.kind, DayKind::Named(_))
     }
 }
 
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug, Default)]
 struct Hour {
     seconds: f64,
-    classes: BTreeMap<String, (u32, Load)>,
+    classes: BTreeMap<String, (u32, LoadEstimate)>,
     transit: f64,
     full: f64,
     one_end: bool,
@@ -104,7 +104,7 @@
             sum.0 = class.width;
             // Erlang-seconds: deviations of intervals add in squares.
             let f = class.fresh;
-            sum.1 = sum.1.plus(Load { mean: f.mean * s, low: f.low * s, high: f.high * s });
+            sum.1 = sum.1.plus(LoadEstimate { mean: f.mean * s, low: f.low * s, high: f.high * s });
             self.transit += class.transit * f64::from(class.width) * s;
             self.calls += class.calls;
             self.redials += class.redials;
@@ -123,35 +123,40 @@
         self
     }
 
-    fn circuits(&self) -> Load {
+    fn circuits(&self) -> LoadEstimate {
         let wide = self.classes.values().map(|(w, l)| scale(*l, f64::from(*w)));
-        wide.fold(Load::default(), Load::plus)
+        wide.fold(LoadEstimate::default(), LoadEstimate::plus)
     }
 }
 
-fn scale(load: Load, by: f64) -> Load {
-    Load { mean: load.mean * by, low: load.low * by, high: load.high * by }
+fn scale(load: LoadEstimate, by: f64) -> LoadEstimate {
+    LoadEstimate { mean: load.mean * by, low: load.low * by, high: load.high * by }
 }
 
 type Day = (i16, i8, i8);
 
 /// Finds the busy hour of each kind of day in a group's loads. Hours begin at any interval's beginning and lie
 /// within one day.
-pub fn busy_hours(loads: &[GroupLoad], calendar: &Calendar, named: &NamedDays, rule: Rule) -> Vec<BusyHour> {
-    let mut days: BTreeMap<(Kind, Day), Vec<(u32, &GroupLoad)>> = BTreeMap::new();
+pub fn busy_hours(
+    loads: &[GroupLoad],
+    calendar: &Calendar,
+    named: &NamedDays,
+    rule: BusyHourRule,
+) -> Vec<BusyHour> {
+    let mut days: BTreeMap<(DayKind, Day), Vec<(u32, &GroupLoad)>> = BTreeMap::new();
     for load in loads {
         let local = calendar.local(load.from);
         let minute = local.hour as u32 * 60 + local.minute as u32;
         let kind = match named.get(&local.date) {
-            Some(name) => Kind::Named(name.clone()),
-            None if local.weekday == 6 => Kind::Saturday,
-            None if local.weekday == 7 => Kind::Sunday,
-            None => Kind::Weekday,
+            Some(name) => DayKind::Named(name.clone()),
+            None if local.weekday == 6 => DayKind::Saturday,
+            None if local.weekday == 7 => DayKind::Sunday,
+            None => DayKind::Weekday,
         };
         days.entry((kind, local.date)).or_default().push((minute, load));
     }
     // By kind and by the minute at which they begin, the hours of all days.
-    let mut hours: BTreeMap<Kind, BTreeMap<u32, Vec<Hour>>> = BTreeMap::new();
+    let mut hours: BTreeMap<DayKind, BTreeMap<u32, Vec<Hour>>> = BTreeMap::new();
     for ((kind, _), intervals) in &days {
         let starts: std::collections::BTreeSet<u32> = intervals.iter().map(|(m, _)| *m).collect();
         for start in starts {
@@ -167,9 +172,9 @@
     hours.into_iter().filter_map(|(kind, by_minute)| find(kind, by_minute, rule)).collect()
 }
 
-fn find(kind: Kind, by_minute: BTreeMap<u32, Vec<Hour>>, rule: Rule) -> Option<BusyHour> {
+fn find(kind: DayKind, by_minute: BTreeMap<u32, Vec<Hour>>, rule: BusyHourRule) -> Option<BusyHour> {
     match rule {
-        Rule::TimeConsistent => {
+        BusyHourRule::TimeConsistent => {
             let most = by_minute.values().map(Vec::len).max()?;
             // An hour that few of the days have tells of those few.
             let common = by_minute.into_iter().filter(|(_, hours)| 2 * hours.len() > most);
@@ -178,7 +183,7 @@
             means
                 .reduce(|best, hour| if hour.load.mean > best.load.mean * (1.0 + 1e-9) { hour } else { best })
         }
-        Rule::Nth(n) => {
+        BusyHourRule::NthHighest(n) => {
             let days = by_minute.values().map(Vec::len).max()?;
             let all = by_minute.into_iter().flat_map(|(m, hours)| hours.into_iter().map(move |h| (m, h)));
             // Hours that overlap are one peak: only those that begin on the hour are ranked.
@@ -191,10 +196,10 @@
 }
 
 /// The mean of the same hour over several days.
-fn mean(kind: Kind, minute: u32, hours: Vec<Hour>) -> BusyHour {
+fn mean(kind: DayKind, minute: u32, hours: Vec<Hour>) -> BusyHour {
     let days = hours.len();
     let share = 1.0 / days as f64;
-    let mut classes: BTreeMap<String, (u32, Load)> = BTreeMap::new();
+    let mut classes: BTreeMap<String, (u32, LoadEstimate)> = BTreeMap::new();
     for hour in &hours {
         for (name, (width, load)) in &hour.classes {
             let sum = classes.entry(name.clone()).or_default();
@@ -207,7 +212,7 @@
     BusyHour {
         kind,
         minute,
-        load: all.fold(Load::default(), Load::plus),
+        load: all.fold(LoadEstimate::default(), LoadEstimate::plus),
         classes,
         transit: hours.iter().map(|h| h.transit).sum::<f64>() * share,
         days,
--- a/trunks/src/erlang.rs
+++ b/trunks/src/erlang.rs
@@ -6,27 +6,27 @@
 //! relative error is multiplied by n / (n + A B) < 1 in each step. For circuits that are not whole, Fortet's
 //! integral 1/B(x, A) = ∫₀^∞ e^(-u) (1 + u/A)^x du starts the recursion between 0 and 1 circuits.
 
-use crate::BadFigure;
+use crate::InvalidInput;
 
 /// The highest load that is taken, in erlang.
-pub const MOST_LOAD: f64 = 1e6;
+pub const MAX_LOAD_ERLANG: f64 = 1e6;
 /// The most circuits that are taken.
-pub const MOST_CIRCUITS: f64 = 1e7;
+pub const MAX_CIRCUITS: f64 = 1e7;
 
 /// Points of the quadrature on each side of its middle, and their distance.
 const POINTS: i32 = 104;
 const STEP: f64 = 1.0 / 24.0;
 
-pub(crate) fn check_load(load: f64) -> Result<(), BadFigure> {
-    (0.0..=MOST_LOAD).contains(&load).then_some(()).ok_or(BadFigure::Load(load))
+pub(crate) fn check_load(load: f64) -> Result<(), InvalidInput> {
+    (0.0..=MAX_LOAD_ERLANG).contains(&load).then_some(()).ok_or(InvalidInput::Load(load))
 }
 
-pub(crate) fn check_loss(loss: f64) -> Result<(), BadFigure> {
-    (loss > 0.0 && loss < 1.0).then_some(()).ok_or(BadFigure::Loss(loss))
+pub(crate) fn check_loss(loss: f64) -> Result<(), InvalidInput> {
+    (loss > 0.0 && loss < 1.0).then_some(()).ok_or(InvalidInput::Loss(loss))
 }
 
-pub(crate) fn check_circuits(circuits: f64) -> Result<(), BadFigure> {
-    (0.0..=MOST_CIRCUITS).contains(&circuits).then_some(()).ok_or(BadFigure::Circuits(circuits))
+pub(crate) fn check_circuits(circuits: f64) -> Result<(), InvalidInput> {
+    (0.0..=MAX_CIRCUITS).contains(&circuits).then_some(()).ok_or(InvalidInput::Circuits(circuits))
 }
 
 /// 1/B between 0 and 1 circuits, by Fortet's integral. With u = exp(π/2 sinh t) the integrand falls off doubly
@@ -65,7 +65,7 @@
 
 /// The share of calls lost that offer `load` erlang to so many circuits. Exact to about 1e-13 of itself, down to
 /// the smallest numbers that a float can hold; 0 below that.
-pub fn loss(load: f64, circuits: f64) -> Result<f64, BadFigure> {
+pub fn loss(load: f64, circuits: f64) -> Result<f64, InvalidInput> {
     check_load(load)?;
     check_circuits(circuits)?;
     Ok(loss_unchecked(load, circuits))
@@ -80,7 +80,7 @@
 }
 
 /// The natural logarithm of the loss: for losses that no float can hold.
-pub fn ln_loss(load: f64, circuits: f64) -> Result<f64, BadFigure> {
+pub fn ln_loss(load: f64, circuits: f64) -> Result<f64, InvalidInput> {
     check_load(load)?;
     check_circuits(circuits)?;
     if load == 0.0 {
@@ -98,7 +98,7 @@
 }
 
 /// The fewest circuits at which `load` erlang lose no more than this share.
-pub fn circuits(load: f64, most_loss: f64) -> Result<u64, BadFigure> {
+pub fn circuits(load: f64, most_loss: f64) -> Result<u64, InvalidInput> {
     check_load(load)?;
     check_loss(most_loss)?;
     if load == 0.0 {
@@ -114,7 +114,7 @@
 }
 
 /// The circuits, parts of one included, at which `load` erlang lose just this share.
-pub fn circuits_real(load: f64, just_loss: f64) -> Result<f64, BadFigure> {
+pub fn circuits_real(load: f64, just_loss: f64) -> Result<f64, InvalidInput> {
     let most = circuits(load, just_loss)? as f64;
     if most == 0.0 || load == 0.0 {
         return Ok(0.0);
@@ -126,7 +126,7 @@
 }
 
 /// The load that loses just this share on so many circuits.
-pub fn load(circuits: f64, just_loss: f64) -> Result<f64, BadFigure> {
+pub fn load(circuits: f64, just_loss: f64) -> Result<f64, InvalidInput> {
     check_circuits(circuits)?;
     check_loss(just_loss)?;
     if circuits == 0.0 {
@@ -187,7 +187,7 @@
 }
 
 /// How much load one more circuit would carry: Moe's improvement function F(N) = A (B(N) - B(N+1)).
-pub fn improvement(load: f64, circuits: f64) -> Result<f64, BadFigure> {
+pub fn improvement(load: f64, circuits: f64) -> Result<f64, InvalidInput> {
     let b = loss(load, circuits)?;
     if load == 0.0 {
         return Ok(0.0);
--- a/trunks/src/lib.rs
+++ b/trunks/src/lib.rs
@@ -25,8 +25,8 @@
 
 /// A figure that a formula cannot be asked about.
 #[derive(Clone, Debug, PartialEq)]
-pub enum BadFigure {
-    /// A load that is negative, no number, or above [`erlang::MOST_LOAD`].
+pub enum InvalidInput {
+    /// A load that is negative, no number, or above [`erlang::MAX_LOAD_ERLANG`].
     Load(f64),
     /// A loss that is not above 0 and below 1.
     Loss(f64),
@@ -37,20 +37,22 @@
     /// A width of zero.
     Width,
     /// A group, node or class that there is not.
-    NoSuch(&'static str, usize),
+    Unknown(&'static str, usize),
 }
 
-impl fmt::Display for BadFigure {
+impl fmt::Display for InvalidInput {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Load(a) => write!(f, "a load of {a} E: between 0 and {} is needed", erlang::MOST_LOAD),
+            Self::Load(a) => {
+                write!(f, "a load of {a} E: between 0 and {} is needed", erlang::MAX_LOAD_ERLANG)
+            }
             Self::Loss(b) => write!(f, "a loss of {b}: above 0 and below 1 is needed"),
-            Self::Circuits(n) => write!(f, "{n} circuits: between 0 and {} is needed", erlang::MOST_CIRCUITS),
+            Self::Circuits(n) => write!(f, "{n} circuits: between 0 and {} is needed", erlang::MAX_CIRCUITS),
             Self::Peakedness(z) => write!(f, "a peakedness of {z}: above 0 and at most 100 is needed"),
             Self::Width => write!(f, "a width of 0: a call takes one circuit at least"),
-            Self::NoSuch(what, number) => write!(f, "there is no {what} {number}"),
+            Self::Unknown(what, number) => write!(f, "there is no {what} {number}"),
         }
     }
 }
 
-impl std::error::Error for BadFigure {}
+impl std::error::Error for InvalidInput {}
--- a/trunks/src/network.rs
+++ b/trunks/src/network.rs
@@ -8,7 +8,7 @@
 //! empty network and from a full one; where it ends in different places both are named.
 
 use crate::erlang::{check_circuits, check_load};
-use crate::BadFigure;
+use crate::InvalidInput;
 
 /// Iterations after which a fixed point is given up.
 const MOST_ROUNDS: usize = 2_000;
@@ -66,7 +66,7 @@
     /// Share of all calls that is carried over tandems.
     pub by_tandem: f64,
     /// Rounds that it took.
-    pub rounds: usize,
+    pub iterations: usize,
     /// Whether it settled; if not, the figures are those of the last round.
     pub converged: bool,
 }
@@ -120,12 +120,12 @@
 }
 
 impl Network {
-    fn plan(&self) -> Result<Plan, BadFigure> {
+    fn plan(&self) -> Result<Plan, InvalidInput> {
         let mut between = vec![None; self.nodes * self.nodes];
         for (i, group) in self.groups.iter().enumerate() {
             let (a, b) = group.ends;
             if a >= self.nodes || b >= self.nodes || a == b {
-                return Err(BadFigure::NoSuch("node", a.max(b)));
+                return Err(InvalidInput::Unknown("node", a.max(b)));
             }
             check_circuits(f64::from(group.circuits))?;
             between[a * self.nodes + b] = Some(i);
@@ -137,7 +137,7 @@
             let (a, b) = demand.ends;
             let all = demand.tandems.iter().copied().chain([a, b]);
             if let Some(none) = all.filter(|n| *n >= self.nodes).max() {
-                return Err(BadFigure::NoSuch("node", none));
+                return Err(InvalidInput::Unknown("node", none));
             }
             direct.push(between[a * self.nodes + b]);
             let pair = |t: &usize| between[a * self.nodes + t].zip(between[t * self.nodes + b]);
@@ -147,7 +147,7 @@
     }
 
     /// Finds the state that is reached from an empty network, and the one from a full network if that is another.
-    pub fn solve(&self) -> Result<Solutions, BadFigure> {
+    pub fn solve(&self) -> Result<Solutions, InvalidInput> {
         let plan = self.plan()?;
         let from_empty = self.iterate(&plan, 0.0);
         let from_full = self.iterate(&plan, 0.9);
@@ -170,10 +170,10 @@
 
     fn iterate_damped(&self, plan: &Plan, start: f64, damping: f64) -> Solution {
         let mut blocked = vec![(start, start); self.groups.len()];
-        let (mut rounds, mut converged) = (0, false);
+        let (mut iterations, mut converged) = (0, false);
         let mut offered = Vec::new();
-        while rounds < MOST_ROUNDS && !converged {
-            rounds += 1;
+        while iterations < MOST_ROUNDS && !converged {
+            iterations += 1;
             offered = self.offered(plan, &blocked);
             let mut moved: f64 = 0.0;
             for ((group, load), old) in self.groups.iter().zip(&offered).zip(&mut blocked) {
@@ -184,7 +184,7 @@
             }
             converged = moved < SETTLED;
         }
-        self.solution(plan, blocked, offered, rounds, converged)
+        self.solution(plan, blocked, offered, iterations, converged)
     }
 
     /// What each group is offered when the groups turn away these shares.
@@ -215,7 +215,7 @@
         plan: &Plan,
         blocked: Vec<(f64, f64)>,
         offered: Vec<(f64, f64)>,
-        rounds: usize,
+        iterations: usize,
         converged: bool,
     ) -> Solution {
         let (mut lost, mut by_tandem, mut total) = (0.0, 0.0, 0.0);
@@ -231,6 +231,6 @@
         let loss: Vec<f64> = shares.collect();
         let share = |of: f64| if total > 0.0 { of / total } else { 0.0 };
         let (total_loss, by_tandem) = (share(lost), share(by_tandem));
-        Solution { loss, blocked, offered, total_loss, by_tandem, rounds, converged }
+        Solution { loss, blocked, offered, total_loss, by_tandem, iterations, converged }
     }
 }
--- a/trunks/src/offered.rs
+++ b/trunks/src/offered.rs
@@ -15,7 +15,7 @@
 use crate::erlang;
 
 /// Level of the intervals that are given.
-pub const LEVEL: f64 = 0.95;
+pub const CONFIDENCE_LEVEL: f64 = 0.95;
 /// The point of the normal distribution that goes with it.
 const POINT: f64 = 1.959_963_984_540_054;
 
@@ -24,7 +24,7 @@
 
 /// A load with its interval, in erlang.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadEstimate {
     /// The estimate.
     pub mean: f64,
     /// The interval's lower end.
@@ -33,28 +33,28 @@
     pub high: f64,
 }
 
-impl Load {
+impl LoadEstimate {
     /// The sum of loads that do not depend on each other: their deviations add in squares.
-    pub fn plus(self, other: Load) -> Load {
+    pub fn plus(self, other: LoadEstimate) -> LoadEstimate {
         let mean = self.mean + other.mean;
         let down = (self.mean - self.low).hypot(other.mean - other.low);
         let up = (self.high - self.mean).hypot(other.high - other.mean);
-        Load { mean, low: (mean - down).max(0.0), high: mean + up }
+        LoadEstimate { mean, low: (mean - down).max(0.0), high: mean + up }
     }
 }
 
 /// What is known of a class's holding times, over all files.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Holding {
+pub struct HoldingStats {
     /// Calls.
     pub calls: u64,
     /// Their sum and sum of squares, in seconds.
     pub seconds: f64,
-    /// See [`Holding::seconds`].
+    /// See [`HoldingStats::seconds`].
     pub squares: f64,
 }
 
-impl Holding {
+impl HoldingStats {
     /// The mean, in seconds.
     pub fn mean(&self) -> Option<f64> {
         (self.calls > 0).then(|| self.seconds / self.calls as f64)
@@ -73,30 +73,30 @@
 
 /// The load that so many Poisson arrivals in this time tell of: Garwood's exact interval for the count, widened by
 /// what is not known of the holding time.
-pub fn from_arrivals(calls: u64, seconds: f64, holding: &Holding) -> Load {
+pub fn load_from_arrivals(calls: u64, seconds: f64, holding: &HoldingStats) -> LoadEstimate {
     let Some(mean) = holding.mean().filter(|_| seconds > 0.0) else {
-        return Load { mean: 0.0, low: 0.0, high: if calls == 0 { 0.0 } else { f64::INFINITY } };
+        return LoadEstimate { mean: 0.0, low: 0.0, high: if calls == 0 { 0.0 } else { f64::INFINITY } };
     };
     let n = calls as f64;
-    let tail = (1.0 - LEVEL) / 2.0;
+    let tail = (1.0 - CONFIDENCE_LEVEL) / 2.0;
     let chi = |p: f64, freedom: f64| ChiSquared::new(freedom).map_or(0.0, |d| d.inverse_cdf(p) / 2.0);
     let low = if calls == 0 { 0.0 } else { chi(tail, 2.0 * n) };
     let high = chi(1.0 - tail, 2.0 * n + 2.0);
     let (scale, spread) = (mean / seconds, POINT * holding.relative_variance().sqrt());
     if calls == 0 {
-        return Load { mean: 0.0, low: 0.0, high: high * scale * spread.exp() };
+        return LoadEstimate { mean: 0.0, low: 0.0, high: high * scale * spread.exp() };
     }
     // Count and holding time do not depend on each other: the logarithms' deviations add in squares.
     let down = (n / low).ln().hypot(spread);
     let up = (high / n).ln().hypot(spread);
-    Load { mean: n * scale, low: n * scale * (-down).exp(), high: n * scale * up.exp() }
+    LoadEstimate { mean: n * scale, low: n * scale * (-down).exp(), high: n * scale * up.exp() }
 }
 
 /// The load that so many circuits in use on average tell of, on a group of so many: that which carries just this.
 /// `mean_hold` and `seconds` say how far an average over the time can be off (Riordan 1951: 2 A h / T at the most).
-pub fn from_usage(carried: f64, circuits: f64, mean_hold: f64, seconds: f64) -> Load {
+pub fn load_from_usage(carried: f64, circuits: f64, mean_hold: f64, seconds: f64) -> LoadEstimate {
     if carried <= 0.0 || seconds <= 0.0 {
-        return Load::default();
+        return LoadEstimate::default();
     }
     let off = POINT * (2.0 * carried * mean_hold / seconds).sqrt();
     let offered = |carried: f64| -> f64 {
@@ -111,7 +111,7 @@
         let through = |a: f64| a * (1.0 - erlang::loss_unchecked(a, circuits));
         while through(high) < carried {
             high *= 2.0;
-            if high > erlang::MOST_LOAD {
+            if high > erlang::MAX_LOAD_ERLANG {
                 return f64::INFINITY;
             }
         }
@@ -127,7 +127,7 @@
     };
     let (low, high) = (offered(carried - off), offered(carried + off));
     let mean = offered(carried.min(circuits * 0.999));
-    Load { mean, low: low.min(mean), high: high.max(mean) }
+    LoadEstimate { mean, low: low.min(mean), high: high.max(mean) }
 }
 
 /// What was offered to one group by one class in one interval.
@@ -136,7 +136,7 @@
     /// Circuits of one call.
     pub width: u32,
     /// Fresh calls of both ends, in erlang of calls.
-    pub fresh: Load,
+    pub fresh: LoadEstimate,
     /// Calls in transit, carried, in erlang of calls. They are no load of the pair's own.
     pub transit: f64,
     /// Fresh calls counted, and further tries beside them.
@@ -166,18 +166,18 @@
 
 impl GroupLoad {
     /// All classes' fresh load, in circuits.
-    pub fn circuits_offered(&self) -> Load {
+    pub fn circuits_offered(&self) -> LoadEstimate {
         let wide = |c: &ClassLoad| {
             let w = f64::from(c.width);
-            Load { mean: w * c.fresh.mean, low: w * c.fresh.low, high: w * c.fresh.high }
+            LoadEstimate { mean: w * c.fresh.mean, low: w * c.fresh.low, high: w * c.fresh.high }
         };
-        self.classes.values().map(wide).fold(Load::default(), Load::plus)
+        self.classes.values().map(wide).fold(LoadEstimate::default(), LoadEstimate::plus)
     }
 }
 
-/// Holding times by class, over all intervals.
-pub fn holding(intervals: &[Interval]) -> BTreeMap<String, Holding> {
-    let mut found: BTreeMap<String, Holding> = BTreeMap::new();
+/// HoldingStats times by class, over all intervals.
+pub fn holding_stats(intervals: &[Interval]) -> BTreeMap<String, HoldingStats> {
+    let mut found: BTreeMap<String, HoldingStats> = BTreeMap::new();
     for h in intervals.iter().flat_map(|i| &i.holding) {
         let sum = found.entry(h.class.clone()).or_default();
         sum.calls += h.calls;
@@ -189,8 +189,8 @@
 
 /// Puts the files of all exchanges together: for each group its loads, interval by interval. An interval of one end
 /// belongs to that of the other whose beginning is nearest, within half its length: clocks may differ.
-pub fn by_group(intervals: &[Interval]) -> BTreeMap<Ends, Vec<GroupLoad>> {
-    let holding = holding(intervals);
+pub fn loads_by_group(intervals: &[Interval]) -> BTreeMap<Ends, Vec<GroupLoad>> {
+    let holding = holding_stats(intervals);
     let mut sides: BTreeMap<(u32, u32), Vec<(&Interval, &measured::record::GroupFigures)>> = BTreeMap::new();
     for interval in intervals.iter().filter(|i| i.seconds() > 0.0) {
         for group in &interval.groups {
@@ -224,7 +224,11 @@
 
 type Side<'a> = (&'a Interval, &'a measured::record::GroupFigures);
 
-fn group_load(side: &Side<'_>, mate: Option<&Side<'_>>, holding: &BTreeMap<String, Holding>) -> GroupLoad {
+fn group_load(
+    side: &Side<'_>,
+    mate: Option<&Side<'_>>,
+    holding: &BTreeMap<String, HoldingStats>,
+) -> GroupLoad {
     // The state of a shared group is told to both ends alike: the end that saw more of it is believed.
     let seen = |s: &Side<'_>| s.1.observed;
     let better = mate.filter(|m| seen(m) > seen(side)).unwrap_or(side);
@@ -238,7 +242,7 @@
         both_ends: mate.is_some(),
         classes: BTreeMap::new(),
     };
-    let none = Holding::default();
+    let none = HoldingStats::default();
     let hold = |class: &str| holding.get(class).unwrap_or(&none);
     let mut own_use = 0.0;
     for (interval, figures) in [Some(side), mate].into_iter().flatten() {
@@ -246,7 +250,7 @@
         for c in &figures.classes {
             let entry = load.classes.entry(c.class.clone()).or_default();
             entry.width = c.width;
-            entry.fresh = entry.fresh.plus(from_arrivals(c.offered, seconds, hold(&c.class)));
+            entry.fresh = entry.fresh.plus(load_from_arrivals(c.offered, seconds, hold(&c.class)));
             // A call in transit takes two groups; on each it is in the file of one end only: of its own exchange
             // on the first, of its tandem on the second.
             let per_call = hold(&c.class).mean().unwrap_or(0.0) / seconds;
@@ -268,17 +272,17 @@
 
 /// Adds what the end whose files are missing offered, as far as the circuits in use show it, shared over the classes
 /// as the known end's calls are.
-fn other_side(load: &mut GroupLoad, own_use: f64, holding: &BTreeMap<String, Holding>) {
+fn other_side(load: &mut GroupLoad, own_use: f64, holding: &BTreeMap<String, HoldingStats>) {
     let rest = (load.in_use - own_use).max(0.0);
     let known: f64 = load.classes.values().map(|c| c.fresh.mean * f64::from(c.width)).sum();
     if rest <= 0.0 || load.circuits <= 0.0 {
         return;
     }
-    let means: Vec<f64> = holding.values().filter_map(Holding::mean).collect();
+    let means: Vec<f64> = holding.values().filter_map(HoldingStats::mean).collect();
     let mean_hold = means.iter().sum::<f64>() / means.len().max(1) as f64;
     // The whole group's load from its use, less the side that is known.
-    let all = from_usage(load.in_use, load.circuits, mean_hold, load.seconds);
-    let other = Load {
+    let all = load_from_usage(load.in_use, load.circuits, mean_hold, load.seconds);
+    let other = LoadEstimate {
         mean: (all.mean - known).max(rest.min(all.mean)),
         low: (rest - (all.mean - all.low)).max(0.0),
         high: (all.high - known).max(rest),
@@ -288,7 +292,10 @@
         let width = f64::from(class.width.max(1));
         let share = if known > 0.0 { class.fresh.mean * width / known } else { 1.0 / count };
         let part = |v: f64| if share > 0.0 { v * share / width } else { 0.0 };
-        class.fresh =
-            class.fresh.plus(Load { mean: part(other.mean), low: part(other.low), high: part(other.high) });
+        class.fresh = class.fresh.plus(LoadEstimate {
+            mean: part(other.mean),
+            low: part(other.low),
+            high: part(other.high),
+        });
     }
 }
--- a/trunks/src/plan.rs
+++ b/trunks/src/plan.rs
@@ -9,7 +9,7 @@
 use crate::offered::Ends;
 use crate::overflow::Stream;
 use crate::widths::{self, Class};
-use crate::{erlang, overflow, BadFigure};
+use crate::{erlang, overflow, InvalidInput};
 
 /// The most circuits that a group is sized for.
 const MOST: u32 = 2_000_000;
@@ -51,7 +51,7 @@
 
 /// What a plan aims at.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Aim {
+pub struct LossTarget {
     /// The loss of any class, at the most.
     pub loss: f64,
     /// Losses of classes that have one of their own, by name.
@@ -62,14 +62,14 @@
     pub price: f64,
 }
 
-impl Aim {
+impl LossTarget {
     fn of(&self, class: &str) -> f64 {
         self.by_class.get(class).copied().unwrap_or(self.loss)
     }
 }
 
 /// Circuits for loads of several classes, each with the loss it may have.
-fn needed(loads: &[(u32, f64)], losses: &[f64], aim: &Aim) -> Result<Option<u32>, BadFigure> {
+fn needed(loads: &[(u32, f64)], losses: &[f64], aim: &LossTarget) -> Result<Option<u32>, InvalidInput> {
     if loads.iter().any(|(_, a)| !a.is_finite()) {
         return Ok(None);
     }
@@ -90,7 +90,12 @@
 }
 
 /// Sizes one group for the highest of its kinds of day.
-pub fn size(ends: Ends, present: u32, hours: &[BusyHour], aim: &Aim) -> Result<Option<GroupPlan>, BadFigure> {
+pub fn size_group(
+    ends: Ends,
+    present: u32,
+    hours: &[BusyHour],
+    aim: &LossTarget,
+) -> Result<Option<GroupPlan>, InvalidInput> {
     erlang::check_loss(aim.loss)?;
     aim.by_class.values().try_for_each(|loss| erlang::check_loss(*loss))?;
     let highest = hours.iter().max_by(|a, b| a.load.mean.total_cmp(&b.load.mean));
@@ -131,7 +136,7 @@
 
 /// Spreads circuits over groups so that together they carry most: each circuit goes where it carries most more
 /// (Moe's principle, K. Moe 1923: the improvements of all groups end up alike). Tells the circuits of each group.
-pub fn spread(loads: &[f64], circuits: u32) -> Result<Vec<u32>, BadFigure> {
+pub fn distribute_circuits(loads: &[f64], circuits: u32) -> Result<Vec<u32>, InvalidInput> {
     /// What the next circuit carries at a group, ordered by it.
     #[derive(PartialEq)]
     struct Next(f64, usize);
@@ -173,7 +178,7 @@
 /// The network that these groups make at their present circuits, each pair at its busy hour and all at once: blocked
 /// calls try the tandems with the widest way, and each group keeps `reserve_roots` roots of its circuits from them.
 /// Loads are in circuits, for the fixed point knows one width.
-pub fn network(plans: &[GroupPlan], reserve_roots: f64) -> Network {
+pub fn build_network(plans: &[GroupPlan], reserve_roots: f64) -> Network {
     let nodes = plans.iter().map(|p| p.ends.1 as usize + 1).max().unwrap_or(0);
     let present: BTreeMap<Ends, u32> = plans.iter().map(|p| (p.ends, p.present)).collect();
     let room = |a: u32, b: u32| present.get(&(a.min(b), a.max(b))).copied().unwrap_or(0);
--- a/trunks/src/widths.rs
+++ b/trunks/src/widths.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::erlang::{check_circuits, check_load};
-use crate::BadFigure;
+use crate::InvalidInput;
 
 /// The recursion is scaled down when it passes this, so that it never overflows.
 const SCALE: f64 = 1e250;
@@ -31,12 +31,12 @@
 }
 
 /// Reckons how a group is used.
-pub fn usage(classes: &[Class], circuits: u32) -> Result<Usage, BadFigure> {
+pub fn usage(classes: &[Class], circuits: u32) -> Result<Usage, InvalidInput> {
     check_circuits(f64::from(circuits))?;
     for class in classes {
         check_load(class.load)?;
         if class.width == 0 {
-            return Err(BadFigure::Width);
+            return Err(InvalidInput::Width);
         }
     }
     let size = circuits as usize;
@@ -70,14 +70,14 @@
 }
 
 /// The fewest circuits at which no class loses more than its share, up to `most`; `None`: even that is too few.
-pub fn circuits(classes: &[Class], most_loss: &[f64], most: u32) -> Result<Option<u32>, BadFigure> {
+pub fn circuits(classes: &[Class], most_loss: &[f64], most: u32) -> Result<Option<u32>, InvalidInput> {
     for loss in most_loss {
         crate::erlang::check_loss(*loss)?;
     }
     if most_loss.len() != classes.len() {
-        return Err(BadFigure::NoSuch("class", most_loss.len()));
+        return Err(InvalidInput::Unknown("class", most_loss.len()));
     }
-    let fits = |n: u32| -> Result<bool, BadFigure> {
+    let fits = |n: u32| -> Result<bool, InvalidInput> {
         let usage = usage(classes, n)?;
         Ok(usage.loss.iter().zip(most_loss).zip(classes).all(|((b, most), c)| c.load == 0.0 || b <= most))
     };
--- a/trunks/tests/formulas.rs
+++ b/trunks/tests/formulas.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use trunks::overflow::Stream;
 use trunks::widths::{usage, Class};
-use trunks::{erlang, overflow, widths, BadFigure};
+use trunks::{erlang, overflow, widths, InvalidInput};
 
 fn ratio(a: i64, b: i64) -> BigRational {
     BigRational::new(BigInt::from(a), BigInt::from(b))
@@ -120,10 +120,10 @@
     // ln of A^N/N! e^-A, which it is but for parts in 10^300.
     let stirling = 400.0 * 10f64.ln() - (1..=400).map(|k| f64::from(k).ln()).sum::<f64>() - 10.0;
     assert!((tiny - stirling).abs() < 1e-9 * stirling.abs());
-    assert!(matches!(erlang::loss(-1.0, 3.0), Err(BadFigure::Load(_))));
-    assert!(matches!(erlang::loss(f64::NAN, 3.0), Err(BadFigure::Load(_))));
-    assert!(matches!(erlang::circuits(1.0, 1.0), Err(BadFigure::Loss(_))));
-    assert!(matches!(erlang::loss(1.0, f64::INFINITY), Err(BadFigure::Circuits(_))));
+    assert!(matches!(erlang::loss(-1.0, 3.0), Err(InvalidInput::Load(_))));
+    assert!(matches!(erlang::loss(f64::NAN, 3.0), Err(InvalidInput::Load(_))));
+    assert!(matches!(erlang::circuits(1.0, 1.0), Err(InvalidInput::Loss(_))));
+    assert!(matches!(erlang::loss(1.0, f64::INFINITY), Err(InvalidInput::Circuits(_))));
 }
 
 #[test]
@@ -179,7 +179,7 @@
             assert!(close(*ours, exact, 1e-12), "{a:?} on {size}: {ours} for {exact}");
         }
     }
-    assert_eq!(usage(&[Class { load: 1.0, width: 0, reserve: 0 }], 5), Err(BadFigure::Width));
+    assert_eq!(usage(&[Class { load: 1.0, width: 0, reserve: 0 }], 5), Err(InvalidInput::Width));
 }
 
 #[test]
@@ -198,7 +198,7 @@
     for (load, circuits) in [(10.0, 8.0), (120.0, 130.0), (35.5, 20.25), (1_000.0, 1_020.0), (2.0, 3.0)] {
         let stream = overflow::overflow(load, circuits).unwrap();
         assert!(stream.peakedness() > 1.0);
-        let found = overflow::equivalent(stream).unwrap();
+        let found = overflow::equivalent_group(stream).unwrap();
         assert!(
             close(found.load, load, 1e-7) && close(found.circuits, circuits, 1e-6),
             "{found:?} for {load}, {circuits}"
@@ -221,7 +221,7 @@
             (overflow::loss(stream, 65.0).unwrap(), overflow::hayward(stream, 65.0).unwrap());
         assert!(close(ert, hayward, 0.05), "the two methods agree to some percent: {ert} {hayward}");
     }
-    assert!(matches!(overflow::loss(Stream::peaked(5.0, -1.0), 3.0), Err(BadFigure::Peakedness(_))));
+    assert!(matches!(overflow::loss(Stream::peaked(5.0, -1.0), 3.0), Err(InvalidInput::Peakedness(_))));
     let none = Stream::poisson(0.0);
     assert_eq!((overflow::circuits(none, 0.01), overflow::loss(none, 0.0)), (Ok(0), Ok(0.0)));
 }
--- a/trunks/tests/measured_loads.rs
+++ b/trunks/tests/measured_loads.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use measured::calendar::Calendar;
-use measured::record::{ClassFigures, GroupFigures, Holding as Held, Interval};
-use trunks::busy::{busy_hours, Kind, NamedDays, Rule};
-use trunks::offered::{by_group, from_arrivals, from_usage, Holding};
-use trunks::plan::{self, size, spread, Aim, Verdict};
+use measured::record::{ClassFigures, GroupFigures, HoldingFigures, Interval};
+use trunks::busy::{busy_hours, BusyHourRule, DayKind, NamedDays};
+use trunks::offered::{load_from_arrivals, load_from_usage, loads_by_group, HoldingStats};
+use trunks::plan::{self, distribute_circuits, size_group, LossTarget, Verdict};
 use trunks::{erlang, overflow};
 
 const QUARTER: i64 = 900_000;
@@ -33,7 +33,7 @@
             full: 0.0,
             classes: vec![class],
         }],
-        holding: vec![Held {
+        holding: vec![HoldingFigures {
             class: "view".into(),
             calls: offered,
             seconds: offered as f64 * 100.0,
@@ -64,24 +64,29 @@
 fn a_peak_on_saturdays_is_found_and_a_daily_average_would_miss_it() {
     let calendar = Calendar::new("Europe/Prague", 15).unwrap();
     let intervals = four_weeks();
-    let loads = by_group(&intervals);
+    let loads = loads_by_group(&intervals);
     let group = &loads[&(1, 2)];
     assert_eq!(group.len(), 28 * 96, "both ends are one group, whatever their clocks");
     assert!(group.iter().all(|l| l.both_ends));
-    let hours = busy_hours(group, &calendar, &NamedDays::new(), Rule::TimeConsistent);
-    let kinds: Vec<&Kind> = hours.iter().map(|h| &h.kind).collect();
-    assert_eq!(kinds, [&Kind::Weekday, &Kind::Saturday, &Kind::Sunday]);
+    let hours = busy_hours(group, &calendar, &NamedDays::new(), BusyHourRule::TimeConsistent);
+    let kinds: Vec<&DayKind> = hours.iter().map(|h| &h.kind).collect();
+    assert_eq!(kinds, [&DayKind::Weekday, &DayKind::Saturday, &DayKind::Sunday]);
     let saturday = &hours[1];
     // 2 x 270 calls of 100 s in 900 s.
     assert!(
         (saturday.load.mean - 60.0).abs() < 1e-6 && (600..=660).contains(&saturday.minute),
         "{saturday:?}"
     );
-    assert!(saturday.load.low > 55.0 && saturday.load.high < 65.0 && saturday.days == 4 && saturday.enough());
-    let aim = Aim { loss: 0.01, by_class: BTreeMap::new(), peakedness: 1.0, price: 2.0 };
-    let plan = size((1, 2), 60, &hours, &aim).unwrap().unwrap();
+    assert!(
+        saturday.load.low > 55.0
+            && saturday.load.high < 65.0
+            && saturday.days == 4
+            && saturday.has_enough_days()
+    );
+    let aim = LossTarget { loss: 0.01, by_class: BTreeMap::new(), peakedness: 1.0, price: 2.0 };
+    let plan = size_group((1, 2), 60, &hours, &aim).unwrap().unwrap();
     assert_eq!(plan.needed as u64, erlang::circuits(60.0, 0.01).unwrap());
-    assert_eq!((&plan.hour.kind, plan.verdict), (&Kind::Saturday, Verdict::Enlarge));
+    assert_eq!((&plan.hour.kind, plan.verdict), (&DayKind::Saturday, Verdict::Enlarge));
     assert!((plan.cost - 2.0 * f64::from(plan.needed - 60)).abs() < 1e-9);
     // The plan that a daily average leads to, in the true peak.
     let average = group.iter().map(|l| l.circuits_offered().mean).sum::<f64>() / group.len() as f64;
@@ -93,54 +98,58 @@
 #[test]
 fn named_days_are_kept_apart_and_the_nth_hour_is_taken_when_asked_for() {
     let calendar = Calendar::new("Europe/Prague", 15).unwrap();
-    let loads = by_group(&four_weeks());
+    let loads = loads_by_group(&four_weeks());
     let named: NamedDays = BTreeMap::from([((2026, 5, 9), "race".to_string())]);
-    let hours = busy_hours(&loads[&(1, 2)], &calendar, &named, Rule::TimeConsistent);
-    let race = hours.iter().find(|h| h.kind == Kind::Named("race".into())).unwrap();
-    assert!((race.load.mean - 60.0).abs() < 1e-6 && race.days == 1 && race.enough());
-    let saturday = hours.iter().find(|h| h.kind == Kind::Saturday).unwrap();
-    assert!(saturday.days == 3 && !saturday.enough(), "three Saturdays are too few to tell");
+    let hours = busy_hours(&loads[&(1, 2)], &calendar, &named, BusyHourRule::TimeConsistent);
+    let race = hours.iter().find(|h| h.kind == DayKind::Named("race".into())).unwrap();
+    assert!((race.load.mean - 60.0).abs() < 1e-6 && race.days == 1 && race.has_enough_days());
+    let saturday = hours.iter().find(|h| h.kind == DayKind::Saturday).unwrap();
+    assert!(saturday.days == 3 && !saturday.has_enough_days(), "three Saturdays are too few to tell");
     let nth = |n| {
-        let hours = busy_hours(&loads[&(1, 2)], &calendar, &NamedDays::new(), Rule::Nth(n));
-        hours.into_iter().find(|h| h.kind == Kind::Saturday).unwrap().load.mean
+        let hours = busy_hours(&loads[&(1, 2)], &calendar, &NamedDays::new(), BusyHourRule::NthHighest(n));
+        hours.into_iter().find(|h| h.kind == DayKind::Saturday).unwrap().load.mean
     };
     assert!((nth(1) - 60.0).abs() < 1e-6 && (nth(8) - 60.0).abs() < 1e-6 && nth(9) < 10.0);
 }
 
 #[test]
 fn a_group_that_is_always_full_has_an_interval_without_end() {
-    let load = from_usage(20.0, 20.0, 100.0, 3_600.0);
+    let load = load_from_usage(20.0, 20.0, 100.0, 3_600.0);
     assert!(load.high.is_infinite() && load.low > 10.0 && load.mean > 20.0, "{load:?}");
-    let seen = from_usage(10.0, 20.0, 100.0, 36_000.0);
+    let seen = load_from_usage(10.0, 20.0, 100.0, 36_000.0);
     assert!(seen.low < 10.0 && seen.high > 10.0 && seen.high < 13.0, "{seen:?}");
     // What carries 17 E on 20 circuits.
-    let tight = from_usage(17.0, 20.0, 10.0, 360_000.0);
+    let tight = load_from_usage(17.0, 20.0, 10.0, 360_000.0);
     assert!((tight.mean * (1.0 - erlang::loss(tight.mean, 20.0).unwrap()) - 17.0).abs() < 1e-6);
-    let one_end = by_group(&[interval(1, 2, MONDAY, 90, 60.0)]);
+    let one_end = loads_by_group(&[interval(1, 2, MONDAY, 90, 60.0)]);
     let load = one_end[&(1, 2)][0].circuits_offered();
     assert!((load.mean - 20.0).abs() < 0.5, "10 E of its own, as much again seen in use: {load:?}");
-    let hours =
-        busy_hours(&one_end[&(1, 2)], &Calendar::new("UTC", 15).unwrap(), &NamedDays::new(), Rule::Nth(1));
+    let hours = busy_hours(
+        &one_end[&(1, 2)],
+        &Calendar::new("UTC", 15).unwrap(),
+        &NamedDays::new(),
+        BusyHourRule::NthHighest(1),
+    );
     assert!(hours.is_empty(), "a quarter is no hour");
 }
 
 #[test]
 fn the_interval_of_a_count_is_garwoods_and_widens_with_the_holding_times() {
-    let long = Holding { calls: 1_000_000, seconds: 1e8, squares: 2e10 };
-    let load = from_arrivals(10, 1_000.0, &long);
+    let long = HoldingStats { calls: 1_000_000, seconds: 1e8, squares: 2e10 };
+    let load = load_from_arrivals(10, 1_000.0, &long);
     // Garwood's exact limits for 10 are 4.795 and 18.390.
     assert!((load.mean - 1.0).abs() < 1e-12);
     assert!((load.low - 0.4795).abs() < 1e-3 && (load.high - 1.839).abs() < 1e-3, "{load:?}");
-    let few = from_arrivals(10, 1_000.0, &Holding { calls: 5, seconds: 500.0, squares: 1e5 });
+    let few = load_from_arrivals(10, 1_000.0, &HoldingStats { calls: 5, seconds: 500.0, squares: 1e5 });
     assert!(few.low < load.low && few.high > load.high);
-    let none = from_arrivals(0, 1_000.0, &long);
+    let none = load_from_arrivals(0, 1_000.0, &long);
     assert!(none.mean == 0.0 && none.low == 0.0 && (none.high - 0.3689).abs() < 1e-3, "{none:?}");
 }
 
 #[test]
 fn circuits_are_spread_so_that_no_move_carries_more() {
     let loads = [3.0, 30.0, 12.0, 0.0];
-    let given = spread(&loads, 55).unwrap();
+    let given = distribute_circuits(&loads, 55).unwrap();
     assert_eq!(given.iter().sum::<u32>(), 55);
     let carried = |n: &[u32]| -> f64 {
         let one = |(a, n): (&f64, &u32)| a * (1.0 - erlang::loss(*a, f64::from(*n)).unwrap());
@@ -160,27 +169,27 @@
 #[test]
 fn peaked_traffic_and_wide_calls_are_sized_as_such() {
     let calendar = Calendar::new("Europe/Prague", 15).unwrap();
-    let loads = by_group(&four_weeks());
-    let hours = busy_hours(&loads[&(1, 2)], &calendar, &NamedDays::new(), Rule::TimeConsistent);
+    let loads = loads_by_group(&four_weeks());
+    let hours = busy_hours(&loads[&(1, 2)], &calendar, &NamedDays::new(), BusyHourRule::TimeConsistent);
     let needed = |peakedness| {
-        let aim = Aim { loss: 0.01, by_class: BTreeMap::new(), peakedness, price: 0.0 };
-        size((1, 2), 60, &hours, &aim).unwrap().unwrap().needed
+        let aim = LossTarget { loss: 0.01, by_class: BTreeMap::new(), peakedness, price: 0.0 };
+        size_group((1, 2), 60, &hours, &aim).unwrap().unwrap().needed
     };
     let stream = overflow::Stream::peaked(60.0, 2.0);
     assert_eq!(u64::from(needed(2.0)), overflow::circuits(stream, 0.01).unwrap());
     let mut wide = hours[1].clone();
-    wide.classes.insert("wide".into(), (8, trunks::offered::Load { mean: 2.0, low: 1.5, high: 2.5 }));
-    wide.load = wide.load.plus(trunks::offered::Load { mean: 16.0, low: 12.0, high: 20.0 });
-    let mut aim = Aim { loss: 0.01, by_class: BTreeMap::new(), peakedness: 1.0, price: 0.0 };
-    let plan = size((1, 2), 60, std::slice::from_ref(&wide), &aim).unwrap().unwrap();
+    wide.classes.insert("wide".into(), (8, trunks::offered::LoadEstimate { mean: 2.0, low: 1.5, high: 2.5 }));
+    wide.load = wide.load.plus(trunks::offered::LoadEstimate { mean: 16.0, low: 12.0, high: 20.0 });
+    let mut aim = LossTarget { loss: 0.01, by_class: BTreeMap::new(), peakedness: 1.0, price: 0.0 };
+    let plan = size_group((1, 2), 60, std::slice::from_ref(&wide), &aim).unwrap().unwrap();
     assert!(plan.needed > 100, "a call of eight circuits needs eight free ones: {}", plan.needed);
     assert!(plan.loss_now[1].1 > plan.loss_now[0].1);
     // The wide class may lose more than the others: fewer circuits do, and a loss that cannot be is refused.
     aim.by_class = BTreeMap::from([("wide".to_string(), 0.1)]);
-    let relaxed = size((1, 2), 60, std::slice::from_ref(&wide), &aim).unwrap().unwrap();
+    let relaxed = size_group((1, 2), 60, std::slice::from_ref(&wide), &aim).unwrap().unwrap();
     assert!(relaxed.needed < plan.needed, "{} {}", relaxed.needed, plan.needed);
     aim.by_class = BTreeMap::from([("wide".to_string(), 1.5)]);
-    assert!(size((1, 2), 60, std::slice::from_ref(&wide), &aim).is_err());
+    assert!(size_group((1, 2), 60, std::slice::from_ref(&wide), &aim).is_err());
 }
 
 #[test]
@@ -193,15 +202,15 @@
             intervals.push(interval(b, a, MONDAY + quarter * QUARTER, calls, 20.0));
         }
     }
-    let aim = Aim { loss: 0.01, by_class: BTreeMap::new(), peakedness: 1.0, price: 0.0 };
-    let plans: Vec<_> = by_group(&intervals)
+    let aim = LossTarget { loss: 0.01, by_class: BTreeMap::new(), peakedness: 1.0, price: 0.0 };
+    let plans: Vec<_> = loads_by_group(&intervals)
         .iter()
         .map(|(ends, loads)| {
-            let hours = busy_hours(loads, &calendar, &NamedDays::new(), Rule::TimeConsistent);
-            size(*ends, 20, &hours, &aim).unwrap().unwrap()
+            let hours = busy_hours(loads, &calendar, &NamedDays::new(), BusyHourRule::TimeConsistent);
+            size_group(*ends, 20, &hours, &aim).unwrap().unwrap()
         })
         .collect();
-    let with = plan::network(&plans, 0.4);
+    let with = plan::build_network(&plans, 0.4);
     assert_eq!((with.nodes, with.groups[0].reserve, with.demands[0].tandems.clone()), (3, 2, vec![2]));
     let found = with.solve().unwrap().from_empty;
     let alone = erlang::loss(plans[0].hour.load.mean, 20.0).unwrap();
--- a/trunks/tests/networks.rs
+++ b/trunks/tests/networks.rs
@@ -2,7 +2,7 @@
 
 use trunks::erlang;
 use trunks::network::{group_loss, Demand, Group, Network};
-use trunks::BadFigure;
+use trunks::InvalidInput;
 
 /// Every node joined to every other by a group of the same size and load.
 fn mesh(nodes: usize, load: f64, circuits: u32, reserve: u32, tandems: usize) -> Network {
@@ -76,13 +76,13 @@
 fn what_is_not_there_is_refused() {
     let mut network = mesh(4, 1.0, 2, 0, 1);
     network.groups[0].ends = (0, 4);
-    assert_eq!(network.solve(), Err(BadFigure::NoSuch("node", 4)));
+    assert_eq!(network.solve(), Err(InvalidInput::Unknown("node", 4)));
     let mut network = mesh(4, 1.0, 2, 0, 1);
     network.demands[0].tandems = vec![9];
-    assert_eq!(network.solve(), Err(BadFigure::NoSuch("node", 9)));
+    assert_eq!(network.solve(), Err(InvalidInput::Unknown("node", 9)));
     let mut network = mesh(4, 1.0, 2, 0, 1);
     network.demands[0].load = f64::NAN;
-    assert!(matches!(network.solve(), Err(BadFigure::Load(_))));
+    assert!(matches!(network.solve(), Err(InvalidInput::Load(_))));
 }
 
 #[test]
--- a/trunks/tests/size.rs
+++ b/trunks/tests/size.rs
@@ -19,7 +19,7 @@
     };
     let found = network.solve().unwrap();
     let best = found.from_empty;
-    println!("{} rounds, loss {:.5}, by tandem {:.5}", best.rounds, best.total_loss, best.by_tandem);
+    println!("{} rounds, loss {:.5}, by tandem {:.5}", best.iterations, best.total_loss, best.by_tandem);
     assert!(best.converged && best.total_loss > 0.0 && best.total_loss < 0.1 && best.by_tandem > 0.0);
     assert!(best.loss.iter().all(|b| (0.0..=1.0).contains(b)));
 }
