--- a/measured/src/calendar.rs
+++ b/measured/src/calendar.rs
@@ -1,19 +1,19 @@
-//! Where intervals begin and end: aligned to the wall clock of a time zone, a change of summer time included.
+//! Measurement interval boundaries, aligned to the wall clock of a time zone, including daylight-saving changes.
 
 use std::fmt;
 
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
 
-/// Minutes that an interval may have: divisors of a day, so that each day has the same ones.
+/// Permitted interval lengths in minutes: divisors of a day, so that each day has the same intervals.
 pub const ALLOWED_INTERVAL_MINUTES: [u32; 12] = [1, 2, 3, 5, 6, 10, 12, 15, 20, 30, 60, 120];
 
-/// A calendar that cannot be used.
+/// Why a [`Calendar`] cannot be created.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CalendarError {
-    /// No time zone has this name.
+    /// The time zone name is not in the time zone database.
     UnknownZone(String),
-    /// An interval cannot have so many minutes.
+    /// The interval length is not one of [`ALLOWED_INTERVAL_MINUTES`].
     InvalidMinutes(u32),
 }
 
@@ -32,62 +32,62 @@
 
 impl std::error::Error for CalendarError {}
 
-/// Cuts time into intervals.
+/// Divides time into intervals.
 #[derive(Clone, Debug)]
 pub struct Calendar {
     zone: TimeZone,
-    name: String,
-    millis: i64,
+    zone_name: String,
+    interval_ms: i64,
 }
 
-/// One interval, in Unix milliseconds: the first belongs to it, the last does not.
+/// One interval in Unix milliseconds, including `from` and excluding `to`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// Where it begins.
+    /// Start, inclusive.
     pub from: i64,
-    /// Where it ends.
+    /// End, exclusive.
     pub to: i64,
 }
 
 impl Calendar {
-    /// Intervals of so many minutes by the clocks of a time zone.
+    /// Creates a calendar with intervals of `minutes` in the named time zone.
     pub fn new(zone: &str, minutes: u32) -> Result<Calendar, CalendarError> {
         let found = TimeZone::get(zone).map_err(|_| CalendarError::UnknownZone(zone.into()))?;
         if !ALLOWED_INTERVAL_MINUTES.contains(&minutes) {
             return Err(CalendarError::InvalidMinutes(minutes));
         }
-        Ok(Calendar { zone: found, name: zone.into(), millis: i64::from(minutes) * 60_000 })
+        Ok(Calendar { zone: found, zone_name: zone.into(), interval_ms: i64::from(minutes) * 60_000 })
     }
 
-    /// The name of the time zone.
+    /// Name of the time zone.
     pub fn zone(&self) -> &str {
-        &self.name
+        &self.zone_name
     }
 
-    fn offset(&self, unix_ms: i64) -> i64 {
+    fn utc_offset_ms(&self, unix_ms: i64) -> i64 {
         let at = Timestamp::from_millisecond(unix_ms).unwrap_or(Timestamp::UNIX_EPOCH);
         i64::from(self.zone.to_offset(at).seconds()) * 1_000
     }
 
-    /// The interval that a moment is in. Where the clocks are changed within one it ends there, so none spans two
-    /// offsets: an hour of the clock that comes twice is two intervals, one that is left out is none.
-    pub fn span(&self, unix_ms: i64) -> Span {
-        let offset = self.offset(unix_ms);
-        let start = (unix_ms + offset).div_euclid(self.millis) * self.millis - offset;
-        let mut span = Span { from: start, to: start + self.millis };
+    /// Returns the interval that contains a point in time. An interval ends early at a change of the UTC offset, so
+    /// that none spans two offsets: a repeated hour of the wall clock is two intervals, a skipped hour is none.
+    pub fn span_containing(&self, unix_ms: i64) -> Span {
+        let offset = self.utc_offset_ms(unix_ms);
+        let start = (unix_ms + offset).div_euclid(self.interval_ms) * self.interval_ms - offset;
+        let mut span = Span { from: start, to: start + self.interval_ms };
         let at = Timestamp::from_millisecond(unix_ms).unwrap_or(Timestamp::UNIX_EPOCH);
-        if let Some(change) = self.zone.following(at).next() {
-            span.to = span.to.min(change.timestamp().as_millisecond());
+        if let Some(transition) = self.zone.following(at).next() {
+            span.to = span.to.min(transition.timestamp().as_millisecond());
         }
-        // A moment before the last change counts by the old clock.
+        // `preceding` is exclusive, so 1 ms is added: a change at exactly `unix_ms` starts this interval.
         let after = Timestamp::from_millisecond(unix_ms + 1).unwrap_or(at);
-        if let Some(change) = self.zone.preceding(after).next() {
-            span.from = span.from.max(change.timestamp().as_millisecond());
+        if let Some(transition) = self.zone.preceding(after).next() {
+            span.from = span.from.max(transition.timestamp().as_millisecond());
         }
         span
     }
 
-    /// A moment on the zone's clock: year, month, day, weekday (Monday is 1), hour and minute.
+    /// Converts a point in time to the zone's local time.
     pub fn local(&self, unix_ms: i64) -> LocalTime {
         let at = Timestamp::from_millisecond(unix_ms).unwrap_or(Timestamp::UNIX_EPOCH);
         let local = self.zone.to_datetime(at);
@@ -100,15 +100,15 @@
     }
 }
 
-/// A moment on a zone's clock.
+/// Date and time of day in a time zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LocalTime {
     /// Year, month and day.
     pub date: (i16, i8, i8),
-    /// Day of the week; Monday is 1.
+    /// Day of the week, 1 (Monday) to 7 (Sunday).
     pub weekday: i8,
-    /// Hour.
+    /// Hour, 0 to 23.
     pub hour: i8,
-    /// Minute.
+    /// Minute, 0 to 59.
     pub minute: i8,
 }
--- a/measured/src/lib.rs
+++ b/measured/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a call controller measures of its trunk groups, interval by interval, and the form it is kept in.
+//! Traffic measurement of a call controller's trunk groups per interval, and its file format.
 //!
-//! - [`calendar`]: where intervals begin and end, by the wall clock of the operator's time zone.
-//! - [`meter`]: counts what happens in an interval; bounded, whatever there is to count.
-//! - [`record`]: a closed interval as a file: whole, or known not to be.
+//! - [`calendar`]: interval boundaries, aligned to the wall clock of the operator's time zone.
+//! - [`meter`]: counts the events of an interval in bounded memory.
+//! - [`record`]: encodes and decodes a closed interval, with a checksum that detects incomplete or changed files.
 //!
-//! Nothing here does I/O or reads a clock.
+//! This crate does no I/O and reads no clock.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/measured/src/meter.rs
+++ b/measured/src/meter.rs
@@ -1,6 +1,6 @@
-//! Counts what happens on the groups of one exchange. It is told of calls and of groups' states with their times,
-//! and gives out an interval when that has passed. What it keeps is bounded: groups, tandems and numbers beyond the
-//! bounds are counted as uncounted.
+//! Counts the traffic on the trunk groups of one exchange. The caller reports call events and group states with
+//! their times and collects each interval when it has elapsed. Memory is bounded: events of groups and tandems beyond
+//! the limits are only counted in [`Interval::uncounted`], and dialled numbers beyond the limit are forgotten.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,199 +9,218 @@
 use crate::calendar::{Calendar, Span};
 use crate::record::{ClassFigures, GroupFigures, HoldingFigures, Interval};
 
-/// Groups that are kept at the most, tandems of one class on one group, and numbers of callers to come back.
-const GROUPS: usize = 1024;
-const TANDEMS: usize = 32;
-const NUMBERS: usize = 20_000;
+/// Maximum number of groups.
+const MAX_GROUPS: usize = 1024;
+/// Maximum number of tandems of one class on one group.
+const MAX_TANDEMS_PER_CLASS: usize = 32;
+/// Maximum number of dialled numbers in one generation of the redial detection.
+const MAX_DIALLED_NUMBERS: usize = 20_000;
 
 /// A class of call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Circuits that one of its calls takes.
+    /// Circuits that one call takes.
     pub width: u32,
 }
 
-/// A call, as far as it is counted.
+/// The properties of a call by which it is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Index of its class.
+    /// Index of its class in the list given to [`Meter::new`].
     pub class: usize,
-    /// Number of the exchange that it is for.
+    /// Number of the destination exchange.
     pub destination: u32,
-    /// Whether it is in transit here.
+    /// Whether it is in transit at this exchange.
     pub transit: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct State {
-    /// When it was told, in Unix milliseconds, or counting began.
-    at: i64,
-    used: f64,
-    size: f64,
+struct GroupState {
+    /// Time up to which this state has been accumulated, in Unix milliseconds.
+    accumulated_until: i64,
+    circuits_in_use: f64,
+    circuits: f64,
 }
 
 #[derive(Debug)]
-struct Group {
+struct GroupCounters {
     figures: GroupFigures,
-    /// By class; nothing is looked up by name and nothing copied for a call.
+    /// Indexed by class, so that counting a call needs no look-up by name and no copy.
     classes: Vec<Option<ClassFigures>>,
-    state: Option<State>,
+    state: Option<GroupState>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct HoldingCounters {
     calls: u64,
     seconds: f64,
     squares: f64,
-    millis: Histogram<u64>,
+    histogram_ms: Histogram<u64>,
 }
 
-/// Counts for one exchange.
+/// Traffic counters of one exchange.
 #[derive(Debug)]
 pub struct Meter {
     exchange: u32,
     classes: Vec<Class>,
     calendar: Calendar,
-    /// How long a caller persists, in milliseconds: whoever dials a number again within it is the same one.
-    persists: i64,
+    /// Time after the first attempt within which a call to the same number is a redial, in milliseconds.
+    redial_window_ms: i64,
     span: Span,
-    since: i64,
-    groups: BTreeMap<u32, Group>,
-    held: Vec<Held>,
+    counting_since: i64,
+    groups: BTreeMap<u32, GroupCounters>,
+    holding: Vec<HoldingCounters>,
     uncounted: u64,
-    /// Numbers whose last try came to nothing or is not known to have, in the present span and the one before.
-    tried: [HashMap<u64, i64>; 2],
-    turned: i64,
+    /// Time of the first attempt to each dialled number of which no call is known to stand, in the current
+    /// and the previous generation.
+    first_attempts: [HashMap<u64, i64>; 2],
+    generation_start: i64,
 }
 
-fn held() -> Held {
-    // From a millisecond to a day with two digits: constants that the library takes.
-    let millis = Histogram::new_with_bounds(1, 86_400_000, 2).expect("sound bounds");
-    Held { calls: 0, seconds: 0.0, squares: 0.0, millis }
+fn empty_holding() -> HoldingCounters {
+    // 1 ms to 24 h with two significant digits.
+    let histogram_ms =
+        Histogram::new_with_bounds(1, 86_400_000, 2).expect("constant histogram bounds are valid");
+    HoldingCounters { calls: 0, seconds: 0.0, squares: 0.0, histogram_ms }
 }
 
 impl Meter {
-    /// A meter that begins now (Unix milliseconds).
-    pub fn new(exchange: u32, classes: Vec<Class>, calendar: Calendar, persists: i64, now: i64) -> Meter {
-        let (span, count) = (calendar.span(now), classes.len());
+    /// Creates a meter that counts from `now` on. All times are Unix milliseconds.
+    pub fn new(
+        exchange: u32,
+        classes: Vec<Class>,
+        calendar: Calendar,
+        redial_window_ms: i64,
+        now: i64,
+    ) -> Meter {
+        let (span, count) = (calendar.span_containing(now), classes.len());
         Meter {
             exchange,
             classes,
             calendar,
-            persists,
+            redial_window_ms,
             span,
-            since: now,
+            counting_since: now,
             groups: BTreeMap::new(),
-            held: (0..count).map(|_| held()).collect(),
+            holding: (0..count).map(|_| empty_holding()).collect(),
             uncounted: 0,
-            tried: Default::default(),
-            turned: now,
+            first_attempts: Default::default(),
+            generation_start: now,
         }
     }
 
-    /// When the present interval ends.
+    /// End of the current interval.
     pub fn interval_end(&self) -> i64 {
         self.span.to
     }
 
-    fn group(&mut self, to: u32) -> Option<&mut Group> {
-        if !self.groups.contains_key(&to) && self.groups.len() >= GROUPS {
+    fn group_mut(&mut self, to: u32) -> Option<&mut GroupCounters> {
+        if !self.groups.contains_key(&to) && self.groups.len() >= MAX_GROUPS {
             self.uncounted += 1;
             return None;
         }
         let count = self.classes.len();
-        Some(self.groups.entry(to).or_insert_with(|| Group {
+        Some(self.groups.entry(to).or_insert_with(|| GroupCounters {
             figures: GroupFigures { to, ..GroupFigures::default() },
             classes: vec![None; count],
             state: None,
         }))
     }
 
-    fn figures(&mut self, to: u32, class: usize) -> Option<&mut ClassFigures> {
-        self.group(to)?.classes.get_mut(class).map(|c| c.get_or_insert_with(ClassFigures::default))
+    fn class_figures_mut(&mut self, to: u32, class: usize) -> Option<&mut ClassFigures> {
+        self.group_mut(to)?.classes.get_mut(class).map(|c| c.get_or_insert_with(ClassFigures::default))
     }
 
-    /// Whether the caller of a number comes back: a try of its was not known to stand a short while ago.
-    fn comes_back(&mut self, now: i64, number: u64) -> bool {
-        if now >= self.turned + self.persists || self.tried[0].len() >= NUMBERS {
-            self.tried[1] = std::mem::take(&mut self.tried[0]);
-            self.turned = now;
+    /// Whether a call to `number` is a redial: within the redial window, there was an attempt that is not known to stand.
+    /// Records the attempt.
+    fn is_redial(&mut self, now: i64, number: u64) -> bool {
+        if now >= self.generation_start + self.redial_window_ms
+            || self.first_attempts[0].len() >= MAX_DIALLED_NUMBERS
+        {
+            self.first_attempts[1] = std::mem::take(&mut self.first_attempts[0]);
+            self.generation_start = now;
         }
-        let first = self.tried[0].get(&number).or_else(|| self.tried[1].get(&number)).copied();
-        let back = first.filter(|first| now < first + self.persists);
-        // A caller's first try counts, so that one who persists for long is offered load again.
-        self.tried[0].insert(number, back.unwrap_or(now));
-        back.is_some()
+        let earlier =
+            self.first_attempts[0].get(&number).or_else(|| self.first_attempts[1].get(&number)).copied();
+        let redialled = earlier.filter(|first| now < first + self.redial_window_ms);
+        // The window starts at the first attempt, so that a caller who redials for longer is offered load again.
+        self.first_attempts[0].insert(number, redialled.unwrap_or(now));
+        redialled.is_some()
     }
 
-    /// A call came. `number` names who is called, where that is told; `again`: it was cut and comes again.
-    pub fn record_offered(&mut self, now: i64, call: Call, number: Option<u64>, again: bool) {
-        let back = number.is_some_and(|n| !call.transit && self.comes_back(now, n));
-        let Some(f) = self.figures(call.destination, call.class) else { return };
-        match (call.transit, back || again) {
-            (true, _) => f.transit_in += 1,
-            (false, true) => f.redials += 1,
-            (false, false) => f.offered += 1,
+    /// Counts an arriving call. `number` identifies the called party, if known; `after_cut`: the call repeats one that
+    /// was cut.
+    pub fn record_offered(&mut self, now: i64, call: Call, number: Option<u64>, after_cut: bool) {
+        let is_redial = number.is_some_and(|n| !call.transit && self.is_redial(now, n));
+        let Some(figures) = self.class_figures_mut(call.destination, call.class) else { return };
+        match (call.transit, is_redial || after_cut) {
+            (true, _) => figures.transit_in += 1,
+            (false, true) => figures.redials += 1,
+            (false, false) => figures.offered += 1,
         }
     }
 
-    /// A call stands by way of an exchange: that it is for, or a tandem.
-    pub fn record_standing(&mut self, call: Call, by: u32, number: Option<u64>) {
+    /// Counts a call that now stands. `via` is the destination for a direct call, the tandem otherwise.
+    pub fn record_standing(&mut self, call: Call, via: u32, number: Option<u64>) {
         if let Some(n) = number {
-            for tried in &mut self.tried {
-                tried.remove(&n);
+            for generation in &mut self.first_attempts {
+                generation.remove(&n);
             }
         }
-        let Some(f) = self.figures(call.destination, call.class) else { return };
+        let Some(figures) = self.class_figures_mut(call.destination, call.class) else { return };
         if call.transit {
-            f.transit_in_carried += 1;
-        } else if by == call.destination {
-            f.carried += 1;
+            figures.transit_in_carried += 1;
+        } else if via == call.destination {
+            figures.carried += 1;
         } else {
-            if f.overflowed.len() < TANDEMS || f.overflowed.contains_key(&by) {
-                *f.overflowed.entry(by).or_insert(0) += 1;
+            if figures.overflowed.len() < MAX_TANDEMS_PER_CLASS || figures.overflowed.contains_key(&via) {
+                *figures.overflowed.entry(via).or_insert(0) += 1;
             } else {
                 self.uncounted += 1;
             }
-            if let Some(f) = self.figures(by, call.class) {
-                f.transit_out += 1;
+            if let Some(figures) = self.class_figures_mut(via, call.class) {
+                figures.transit_out += 1;
             }
         }
     }
 
-    /// A call came to nothing.
+    /// Counts a call that was lost.
     pub fn record_lost(&mut self, call: Call) {
-        if let (false, Some(f)) = (call.transit, self.figures(call.destination, call.class)) {
-            f.lost += 1;
+        if let (false, Some(figures)) = (call.transit, self.class_figures_mut(call.destination, call.class)) {
+            figures.lost += 1;
         }
     }
 
-    /// A call came to its natural end after so many milliseconds.
-    pub fn record_holding_time(&mut self, class: usize, millis: i64) {
-        if let Some(h) = self.held.get_mut(class) {
-            let seconds = millis.max(0) as f64 * 1e-3;
-            h.calls += 1;
-            h.seconds += seconds;
-            h.squares += seconds * seconds;
-            h.millis.saturating_record(millis.max(0) as u64);
+    /// Records the holding time of a call that completed normally.
+    pub fn record_holding_time(&mut self, class: usize, holding_ms: i64) {
+        if let Some(counters) = self.holding.get_mut(class) {
+            let seconds = holding_ms.max(0) as f64 * 1e-3;
+            counters.calls += 1;
+            counters.seconds += seconds;
+            counters.squares += seconds * seconds;
+            counters.histogram_ms.saturating_record(holding_ms.max(0) as u64);
         }
     }
 
-    /// The state of the group to an exchange.
-    pub fn record_group_state(&mut self, now: i64, to: u32, free: f64, size: f64) {
-        if !(free.is_finite() && size.is_finite() && free >= 0.0 && size >= 0.0) {
+    /// Records the state of the group to an exchange. Negative and non-finite numbers are ignored.
+    pub fn record_group_state(&mut self, now: i64, to: u32, free: f64, circuits: f64) {
+        if !(free.is_finite() && circuits.is_finite() && free >= 0.0 && circuits >= 0.0) {
             return;
         }
-        let Some(group) = self.group(to) else { return };
-        group.settle(now);
-        group.state = Some(State { at: now, used: (size - free).max(0.0), size });
-        group.figures.circuits = size;
+        let Some(group) = self.group_mut(to) else { return };
+        group.accumulate(now);
+        group.state = Some(GroupState {
+            accumulated_until: now,
+            circuits_in_use: (circuits - free).max(0.0),
+            circuits,
+        });
+        group.figures.circuits = circuits;
     }
 
-    /// Closes the present interval if it is over. To be called again until it gives nothing: after a long pause
-    /// several intervals are over.
+    /// Closes the current interval if it has elapsed. Call this until it returns `None`: after a long pause, several
+    /// intervals have elapsed.
     pub fn close_elapsed(&mut self, now: i64) -> Option<Interval> {
         if now < self.span.to {
             return None;
@@ -209,70 +228,72 @@
         Some(self.close(self.span.to))
     }
 
-    /// Closes the present interval before it is over, for counting ends.
+    /// Closes the current interval before its end, because counting ends. Returns `None` if nothing has been measured
+    /// in it.
     pub fn close_partial(&mut self, now: i64) -> Option<Interval> {
-        (now > self.since.max(self.span.from) && now < self.span.to).then(|| self.close(now))
+        (now > self.counting_since.max(self.span.from) && now < self.span.to).then(|| self.close(now))
     }
 
     fn close(&mut self, until: i64) -> Interval {
         let span = self.span;
         let mut groups = Vec::new();
         for group in self.groups.values_mut() {
-            group.settle(until);
-            let fresh = GroupFigures {
+            group.accumulate(until);
+            let reset = GroupFigures {
                 to: group.figures.to,
                 circuits: group.figures.circuits,
                 ..GroupFigures::default()
             };
-            let mut figures = std::mem::replace(&mut group.figures, fresh);
+            let mut figures = std::mem::replace(&mut group.figures, reset);
             let counted = group.classes.iter_mut().zip(&self.classes);
             figures.classes.extend(counted.filter_map(|(counted, class)| {
                 Some(ClassFigures { class: class.name.clone(), width: class.width, ..counted.take()? })
             }));
             groups.push(figures);
         }
-        let held = std::mem::replace(&mut self.held, (0..self.classes.len()).map(|_| held()).collect());
+        let counters =
+            std::mem::replace(&mut self.holding, (0..self.classes.len()).map(|_| empty_holding()).collect());
         let holding =
-            self.classes.iter().zip(held).filter(|(_, h)| h.calls > 0).map(|(class, h)| HoldingFigures {
+            self.classes.iter().zip(counters).filter(|(_, h)| h.calls > 0).map(|(class, h)| HoldingFigures {
                 class: class.name.clone(),
                 calls: h.calls,
                 seconds: h.seconds,
                 squares: h.squares,
-                quantiles: [0.5, 0.9, 0.99].map(|q| h.millis.value_at_quantile(q) as f64 * 1e-3),
+                quantiles: [0.5, 0.9, 0.99].map(|q| h.histogram_ms.value_at_quantile(q) as f64 * 1e-3),
             });
         let interval = Interval {
             exchange: self.exchange,
             from: span.from,
             to: span.to,
-            measured: (self.since.max(span.from), until),
+            measured: (self.counting_since.max(span.from), until),
             time_zone: self.calendar.zone().into(),
             groups,
             holding: holding.collect(),
             uncounted: std::mem::take(&mut self.uncounted),
         };
-        self.span = self.calendar.span(until);
-        self.since = until;
-        // A group that nothing was said of for a whole interval is kept no longer.
+        self.span = self.calendar.span_containing(until);
+        self.counting_since = until;
+        // Groups without a known state are dropped; a later event adds them again.
         self.groups.retain(|_, g| g.state.is_some());
         interval
     }
 
-    /// Groups that are kept now.
+    /// Number of groups held in memory.
     pub fn group_count(&self) -> usize {
         self.groups.len()
     }
 }
 
-impl Group {
-    /// Books the present state up to now.
-    fn settle(&mut self, now: i64) {
+impl GroupCounters {
+    /// Adds the time since the last accumulation, in the current state, to the figures.
+    fn accumulate(&mut self, now: i64) {
         let Some(state) = &mut self.state else { return };
-        let seconds = (now - state.at).max(0) as f64 * 1e-3;
+        let seconds = (now - state.accumulated_until).max(0) as f64 * 1e-3;
         self.figures.observed += seconds;
-        self.figures.circuit_seconds += state.used * seconds;
-        if state.size > 0.0 && state.used >= state.size {
+        self.figures.circuit_seconds += state.circuits_in_use * seconds;
+        if state.circuits > 0.0 && state.circuits_in_use >= state.circuits {
             self.figures.full += seconds;
         }
-        state.at = state.at.max(now);
+        state.accumulated_until = state.accumulated_until.max(now);
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,8 @@
-//! Files that operators write in JSON5, read with errors that name file, line, column and key.
+//! Reads the operator's JSON5 files, with errors that name file, line, column and key.
 //!
-//! The reader of JSON5 places what is no JSON5, but not a value that a type refuses later. So a refused value's path
-//! is walked a second time, and the walk fails at the value: there the reader adds the place.
+//! The JSON5 parser reports a position for syntax errors, but not for values that a type rejects later. To locate a
+//! rejected value, the text is parsed a second time along the value's path with a visitor that fails at the value, and
+//! the parser adds the position to that error.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -10,151 +11,153 @@
 
 use serde::de::{DeserializeOwned, DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 
-/// What is wrong with a file, and where.
+/// An error in a file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileError {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// Line and column, from 1, where they are known.
-    pub place: Option<(usize, usize)>,
-    /// The key, as a path from the top; empty for the whole.
+    /// Line and column, from 1, if known.
+    pub position: Option<(usize, usize)>,
+    /// Path of the key from the top level; empty for the whole file.
     pub key: String,
-    /// What is wrong there.
-    pub what: String,
+    /// Description of the error.
+    pub message: String,
 }
 
 impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
-        if let Some((line, column)) = self.place {
+        if let Some((line, column)) = self.position {
             write!(f, ":{line}:{column}")?;
         }
         if !self.key.is_empty() && self.key != "." {
             write!(f, ": {}", self.key)?;
         }
-        write!(f, ": {}", self.what)
+        write!(f, ": {}", self.message)
     }
 }
 
 impl std::error::Error for FileError {}
 
-/// One step of the path to a value.
+/// One segment of the path to a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PathSegment {
     /// A key of an object.
     Key(String),
-    /// A place in an array, from 0.
+    /// An index into an array, from 0.
     Index(usize),
 }
 
-/// The step to a key.
+/// Returns the path segment of a key.
 pub fn key(key: &str) -> PathSegment {
     PathSegment::Key(key.into())
 }
 
-/// Reads the text of a file; `file` is only named in errors.
+/// Deserializes the text of a file; `file` is its name in errors.
 pub fn parse<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, FileError> {
-    let read = serde_path_to_error::deserialize(&mut json5::Deserializer::from_str(text));
-    read.map_err(|e| {
+    let result = serde_path_to_error::deserialize(&mut json5::Deserializer::from_str(text));
+    result.map_err(|e| {
         use serde_path_to_error::Segment;
-        let path = e.path().iter().filter_map(|s| match s {
+        let path = e.path().iter().filter_map(|segment| match segment {
             Segment::Seq { index } => Some(PathSegment::Index(*index)),
             Segment::Map { key } => Some(PathSegment::Key(key.clone())),
             _ => None,
         });
         let path: Vec<PathSegment> = path.collect();
-        // What is no JSON5 has a place of its own; else the place is that of the value.
-        let syntax = e.inner().code().is_some() || path.is_empty();
-        let found = if syntax { None } else { locate(text, &path) };
-        let what = e.inner().to_string();
+        // A syntax error carries its own position; for a rejected value the value is located.
+        let is_syntax_error = e.inner().code().is_some() || path.is_empty();
+        let value_position = if is_syntax_error { None } else { locate(text, &path) };
+        let message = e.inner().to_string();
         FileError {
             file: file.into(),
-            place: found.or_else(|| place(e.inner())),
+            position: value_position.or_else(|| error_position(e.inner())),
             key: e.path().to_string(),
-            what: what.split(" at line ").next().unwrap_or_default().into(),
+            message: message.split(" at line ").next().unwrap_or_default().into(),
         }
     })
 }
 
-/// Reads a whole file as text.
+/// Reads a file as text.
 pub fn read_text(path: &Path) -> Result<String, FileError> {
     std::fs::read_to_string(path).map_err(|e| FileError {
         file: path.display().to_string(),
-        place: None,
+        position: None,
         key: String::new(),
-        what: format!("cannot be read: {e}"),
+        message: format!("cannot be read: {e}"),
     })
 }
 
-/// Says that the value at a path is refused, for a reason that its type alone cannot know.
-pub fn invalid_value(file: &str, text: &str, path: &[PathSegment], what: String) -> FileError {
+/// Creates the error for a value that has the right type but is invalid, located by its path.
+pub fn invalid_value(file: &str, text: &str, path: &[PathSegment], message: String) -> FileError {
     let mut key = String::new();
-    for step in path {
-        match step {
+    for segment in path {
+        match segment {
             PathSegment::Key(k) => key.push_str(&format!("{}{k}", if key.is_empty() { "" } else { "." })),
             PathSegment::Index(i) => key.push_str(&format!("[{i}]")),
         }
     }
-    FileError { file: file.into(), place: locate(text, path), key, what }
+    FileError { file: file.into(), position: locate(text, path), key, message }
 }
 
-fn place(e: &json5::Error) -> Option<(usize, usize)> {
+/// Line and column of a parser error, from 1.
+fn error_position(e: &json5::Error) -> Option<(usize, usize)> {
     e.position().map(|p| (p.line + 1, p.column + 1))
 }
 
-/// Line and column of the value at a path.
+/// Line and column of the value at a path, from 1.
 fn locate(text: &str, path: &[PathSegment]) -> Option<(usize, usize)> {
-    let found = Locate(path).deserialize(&mut json5::Deserializer::from_str(text)).err();
-    found.as_ref().and_then(place)
+    let error = ValueLocator(path).deserialize(&mut json5::Deserializer::from_str(text)).err();
+    error.as_ref().and_then(error_position)
 }
 
-/// Walks to the value of a path and fails there: the reader adds the place.
-struct Locate<'a>(&'a [PathSegment]);
+/// A visitor that descends to the value at a path and fails there, so that the parser reports its position.
+struct ValueLocator<'a>(&'a [PathSegment]);
 
-impl<'de> DeserializeSeed<'de> for Locate<'_> {
+impl<'de> DeserializeSeed<'de> for ValueLocator<'_> {
     type Value = ();
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
         deserializer.deserialize_any(self)
     }
 }
 
-impl Locate<'_> {
-    fn found<E: serde::de::Error>(&self) -> Result<(), E> {
+impl ValueLocator<'_> {
+    /// Fails if this is the value at the end of the path.
+    fn fail_at_target<E: serde::de::Error>(&self) -> Result<(), E> {
         if self.0.is_empty() {
-            return Err(E::custom("here"));
+            return Err(E::custom("value located"));
         }
         Ok(())
     }
 }
 
-impl<'de> Visitor<'de> for Locate<'_> {
+impl<'de> Visitor<'de> for ValueLocator<'_> {
     type Value = ();
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "a value")
     }
     fn visit_bool<E: serde::de::Error>(self, _: bool) -> Result<(), E> {
-        self.found()
+        self.fail_at_target()
     }
     fn visit_i64<E: serde::de::Error>(self, _: i64) -> Result<(), E> {
-        self.found()
+        self.fail_at_target()
     }
     fn visit_u64<E: serde::de::Error>(self, _: u64) -> Result<(), E> {
-        self.found()
+        self.fail_at_target()
     }
     fn visit_f64<E: serde::de::Error>(self, _: f64) -> Result<(), E> {
-        self.found()
+        self.fail_at_target()
     }
     fn visit_str<E: serde::de::Error>(self, _: &str) -> Result<(), E> {
-        self.found()
+        self.fail_at_target()
     }
     fn visit_unit<E: serde::de::Error>(self) -> Result<(), E> {
-        self.found()
+        self.fail_at_target()
     }
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
-        self.found()?;
-        while let Some(name) = map.next_key::<String>()? {
-            if self.0[0] == PathSegment::Key(name) {
-                map.next_value_seed(Locate(&self.0[1..]))?;
+        self.fail_at_target()?;
+        while let Some(key) = map.next_key::<String>()? {
+            if self.0[0] == PathSegment::Key(key) {
+                map.next_value_seed(ValueLocator(&self.0[1..]))?;
             } else {
                 map.next_value::<IgnoredAny>()?;
             }
@@ -162,14 +165,14 @@
         Ok(())
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
-        self.found()?;
+        self.fail_at_target()?;
         for index in 0.. {
-            let found = if self.0[0] == PathSegment::Index(index) {
-                seq.next_element_seed(Locate(&self.0[1..]))?.is_some()
+            let has_element = if self.0[0] == PathSegment::Index(index) {
+                seq.next_element_seed(ValueLocator(&self.0[1..]))?.is_some()
             } else {
                 seq.next_element::<IgnoredAny>()?.is_some()
             };
-            if !found {
+            if !has_element {
                 break;
             }
         }
