--- a/measured/src/meter.rs
+++ b/measured/src/meter.rs
@@ -133,8 +133,8 @@
         self.group_mut(to)?.classes.get_mut(class).map(|c| c.get_or_insert_with(ClassFigures::default))
     }
 
-    /// Whether a call to `number` is a redial: within the redial window, there was an attempt that is not known to stand.
-    /// Records the attempt.
+    /// Whether a call to `number` is a redial: within the redial window, there was an attempt that is not known to
+    /// stand. Records the attempt.
     fn is_redial(&mut self, now: i64, number: u64) -> bool {
         if now >= self.generation_start + self.redial_window_ms
             || self.first_attempts[0].len() >= MAX_DIALLED_NUMBERS
--- a/trunks/src/lib.rs
+++ b/trunks/src/lib.rs
@@ -1,15 +1,15 @@
-//! Trunk dimensioning: how many circuits a group needs for the load that was measured.
+//! Trunk dimensioning: the number of circuits that a group needs for its measured load.
 //!
-//! Loads are in erlang, losses are shares between 0 and 1, circuits are numbers that need not be whole where a
-//! method asks for parts of one. Nothing here does I/O or reads a clock.
+//! Loads are in erlang and losses are shares between 0 and 1. Numbers of circuits are fractional where a method
+//! requires it. This crate does no I/O and reads no clock.
 //!
 //! - [`erlang`]: Erlang's loss formula and its inverses.
-//! - [`widths`]: calls of several widths on one group, with trunk reservation.
-//! - [`overflow`]: overflow traffic, which is peaked, and groups that are offered it.
-//! - [`offered`]: the load that was offered, from what controllers measured.
-//! - [`busy`]: the load to dimension for: the busy hour by kind of day.
-//! - [`plan`]: circuits for a chosen loss, and the best use of those there are.
-//! - [`network`]: groups with tandem alternatives as a fixed point, and the second one where there is one.
+//! - [`widths`]: groups with calls of several widths (multirate traffic) and trunk reservation.
+//! - [`overflow`]: peaked overflow traffic and groups that are offered it.
+//! - [`offered`]: estimates the offered load from the controllers' measurements.
+//! - [`busy`]: finds the busy hour of each kind of day, whose load a group is sized for.
+//! - [`plan`]: the circuits for a target loss, and the best distribution of the present circuits.
+//! - [`network`]: the fixed points of a network of groups with tandem alternatives.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -23,20 +23,20 @@
 
 use std::fmt;
 
-/// A figure that a formula cannot be asked about.
+/// An argument outside the domain of a formula.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InvalidInput {
-    /// A load that is negative, no number, or above [`erlang::MAX_LOAD_ERLANG`].
+    /// A load that is negative, NaN or above [`erlang::MAX_LOAD_ERLANG`].
     Load(f64),
-    /// A loss that is not above 0 and below 1.
+    /// A loss outside the open interval from 0 to 1.
     Loss(f64),
-    /// Circuits that are negative, no number or more than a group can have.
+    /// A number of circuits that is negative, NaN or above [`erlang::MAX_CIRCUITS`].
     Circuits(f64),
-    /// A peakedness that is not above 0.
+    /// A peakedness outside the supported range, above 0 and at most 100.
     Peakedness(f64),
     /// A width of zero.
     Width,
-    /// A group, node or class that there is not.
+    /// What does not exist (a node or a class), and its index.
     Unknown(&'static str, usize),
 }
 
--- a/trunks/src/overflow.rs
+++ b/trunks/src/overflow.rs
@@ -1,12 +1,13 @@
-//! Overflow traffic: what a full group turns away comes in clumps, and a group that is offered it loses more than
-//! Erlang's formula says of its mean. It is told by its peakedness z, variance over mean; Poisson traffic has 1.
+//! Overflow traffic: the calls rejected by a full group arrive in bursts, and a group that is offered them loses more
+//! than Erlang's formula gives for their mean. Such traffic is described by its mean and its peakedness z, the ratio
+//! of variance to mean, which is 1 for Poisson traffic.
 
 use serde::{Deserialize, Serialize};
 
 use crate::erlang::{check_circuits, check_loss, loss_unchecked, MAX_CIRCUITS};
 use crate::InvalidInput;
 
-/// Mean and variance of the circuits that a stream would take of a group without end.
+/// A traffic stream, described by the mean and variance of the circuits that it would occupy in an infinite group.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Stream {
     /// Mean, in erlang.
@@ -21,12 +22,12 @@
         Stream { mean: load, variance: load }
     }
 
-    /// A stream of this mean and peakedness.
+    /// Creates a stream with the given mean and peakedness.
     pub fn peaked(mean: f64, peakedness: f64) -> Stream {
         Stream { mean, variance: mean * peakedness }
     }
 
-    /// Variance over mean; 1 for nothing.
+    /// Ratio of variance to mean; 1 for an empty stream.
     pub fn peakedness(&self) -> f64 {
         if self.mean > 0.0 {
             self.variance / self.mean
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Two streams that do not depend on each other, offered together.
+    /// The sum of two independent streams.
     pub fn combined_with(self, other: Stream) -> Stream {
         Stream { mean: self.mean + other.mean, variance: self.variance + other.variance }
     }
@@ -47,7 +48,8 @@
     }
 }
 
-/// What so many circuits turn away of `load` erlang of Poisson traffic (Kosten 1937, Riordan in Wilkinson 1956).
+/// The overflow of `circuits` that are offered `load` erlang of Poisson traffic (Kosten 1937, Riordan in
+/// Wilkinson 1956).
 pub fn overflow(load: f64, circuits: f64) -> Result<Stream, InvalidInput> {
     crate::erlang::check_load(load)?;
     check_circuits(circuits)?;
@@ -60,18 +62,19 @@
     Stream { mean, variance }
 }
 
-/// Load and circuits whose overflow has this mean and variance: Wilkinson's equivalent random group.
+/// Wilkinson's equivalent random group: the Poisson load and the circuits whose overflow has the mean and variance of
+/// a stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EquivalentGroup {
-    /// Its load, in erlang.
+    /// Load, in erlang.
     pub load: f64,
-    /// Its circuits, parts of one included.
+    /// Circuits, fractional.
     pub circuits: f64,
 }
 
-/// Finds the equivalent random group of a peaked stream, exactly: Rapp's approximation (1964) starts it, and the
-/// load is then moved until the overflow has the mean. For each load the circuits follow from the variance, for
-/// v/m = 1 - m + A / (N + 1 + m - A) has one N.
+/// Finds the exact equivalent random group of a peaked stream. The search for the load whose overflow has the mean m
+/// starts from Rapp's approximation (1964). The circuits N for each load A follow from the variance v, because
+/// v/m = 1 - m + A / (N + 1 + m - A) has one solution N.
 pub fn equivalent_group(stream: Stream) -> Result<EquivalentGroup, InvalidInput> {
     stream.check()?;
     let (m, z) = (stream.mean, stream.peakedness());
@@ -83,19 +86,19 @@
         };
     }
     let circuits = |load: f64| load * (m + z) / (m + z - 1.0) - m - 1.0;
-    // The overflow's mean, over the wanted one, as the load grows along that line; it falls.
-    let gap = |load: f64| (load * loss_unchecked(load, circuits(load).max(0.0)) / m).ln();
-    let least = (m + 1.0) * (m + z - 1.0) / (m + z); // no circuits
-    let mut high = (stream.variance + 3.0 * z * (z - 1.0)).max(least) * 1.5;
-    while gap(high) > 0.0 && circuits(high) < MAX_CIRCUITS {
+    // Logarithm of the overflow's mean over the wanted mean; decreases with the load.
+    let excess = |load: f64| (load * loss_unchecked(load, circuits(load).max(0.0)) / m).ln();
+    let min_load = (m + 1.0) * (m + z - 1.0) / (m + z); // at 0 circuits
+    let mut high = (stream.variance + 3.0 * z * (z - 1.0)).max(min_load) * 1.5;
+    while excess(high) > 0.0 && circuits(high) < MAX_CIRCUITS {
         high *= 1.5;
     }
-    let load = crate::erlang::bracketed(least, high, gap);
+    let load = crate::erlang::find_root(min_load, high, excess);
     Ok(EquivalentGroup { load, circuits: circuits(load).max(0.0) })
 }
 
-/// The share of a stream that is lost on so many circuits: for peaked traffic by the equivalent random group, for
-/// smooth traffic by Hayward's approximation, for Poisson traffic Erlang's formula itself.
+/// The share of a stream that is lost on `circuits`: by the equivalent random group for peaked traffic, by Hayward's
+/// approximation for smooth traffic (z < 1), and by Erlang's formula for Poisson traffic.
 pub fn loss(stream: Stream, circuits: f64) -> Result<f64, InvalidInput> {
     stream.check()?;
     check_circuits(circuits)?;
@@ -109,12 +112,13 @@
     if z < 1.0 {
         return Ok(hayward_unchecked(stream, circuits));
     }
-    let e = equivalent_group(stream)?;
-    Ok((e.load * loss_unchecked(e.load, e.circuits + circuits) / stream.mean).min(1.0))
+    let equivalent = equivalent_group(stream)?;
+    Ok((equivalent.load * loss_unchecked(equivalent.load, equivalent.circuits + circuits) / stream.mean)
+        .min(1.0))
 }
 
-/// The same by Hayward's approximation (Fredericks 1980): a stream of peakedness z on N circuits is lost as a
-/// Poisson stream of 1/z of its mean on N/z circuits.
+/// The lost share of a stream by Hayward's approximation (Fredericks 1980): the loss of a stream of peakedness z on N
+/// circuits is that of a Poisson stream with 1/z of its mean on N/z circuits.
 pub fn hayward(stream: Stream, circuits: f64) -> Result<f64, InvalidInput> {
     stream.check()?;
     check_circuits(circuits)?;
@@ -126,29 +130,29 @@
     loss_unchecked(stream.mean / z, circuits / z)
 }
 
-/// What such a group turns away in its turn.
-pub fn overflow_of(stream: Stream, circuits: f64) -> Result<Stream, InvalidInput> {
+/// The overflow of a group that is offered a stream.
+pub fn overflow_of_stream(stream: Stream, circuits: f64) -> Result<Stream, InvalidInput> {
     if stream.peakedness() < 1.0 {
         let mean = stream.mean * loss(stream, circuits)?;
         return Ok(Stream::poisson(mean));
     }
-    let e = equivalent_group(stream)?;
-    overflow(e.load, e.circuits + circuits)
+    let equivalent = equivalent_group(stream)?;
+    overflow(equivalent.load, equivalent.circuits + circuits)
 }
 
-/// The fewest circuits at which a stream loses no more than this share.
-pub fn circuits(stream: Stream, most_loss: f64) -> Result<u64, InvalidInput> {
+/// The smallest number of circuits at which the loss of a stream is at most `max_loss`.
+pub fn circuits(stream: Stream, max_loss: f64) -> Result<u64, InvalidInput> {
     stream.check()?;
-    check_loss(most_loss)?;
+    check_loss(max_loss)?;
     if stream.mean == 0.0 {
         return Ok(0);
     }
     let z = stream.peakedness();
     if z == 1.0 {
-        return crate::erlang::circuits(stream.mean, most_loss);
+        return crate::erlang::circuits(stream.mean, max_loss);
     }
-    // By doubling and halving: each loss costs a recursion.
-    let fits = |n: u64| loss(stream, n as f64).map(|b| b <= most_loss);
+    // Doubling, then binary search: each evaluation of the loss costs a whole recursion.
+    let fits = |n: u64| loss(stream, n as f64).map(|b| b <= max_loss);
     let (mut low, mut high) = (0, (stream.mean.ceil() as u64).max(1));
     while !fits(high)? {
         (low, high) = (high, high * 2);
--- a/trunks/src/widths.rs
+++ b/trunks/src/widths.rs
@@ -1,36 +1,36 @@
-//! Calls of several widths on one group: Kaufman's and Roberts' recursion (1981), with trunk reservation as
-//! Roberts (1983) approximates it. Without reservation it is exact, and like Erlang's formula it holds for any
-//! distribution of the holding times.
+//! Calls of several widths on one group (multirate traffic): the Kaufman-Roberts recursion (1981), with Roberts'
+//! approximation for trunk reservation (1983). Without reservation the recursion is exact and, like Erlang's formula,
+//! holds for any distribution of the holding times.
 
 use serde::{Deserialize, Serialize};
 
 use crate::erlang::{check_circuits, check_load};
 use crate::InvalidInput;
 
-/// The recursion is scaled down when it passes this, so that it never overflows.
-const SCALE: f64 = 1e250;
+/// The recursion is scaled down by this factor when a term exceeds it, so that it never overflows.
+const RESCALE_LIMIT: f64 = 1e250;
 
 /// One class of call on a group.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Its calls offered, in erlang (calls a second times mean holding time).
+    /// Offered calls, in erlang (calls per second times mean holding time).
     pub load: f64,
     /// Circuits that one call takes.
     pub width: u32,
-    /// Circuits that have to stay free beside those that it takes, or it is turned away.
+    /// Trunk reservation: a call is rejected unless this many circuits stay free beside those that it takes.
     pub reserve: u32,
 }
 
-/// How a group with so many circuits is used.
+/// The state distribution and losses of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Usage {
-    /// Share of the time that just so many circuits are in use.
+    /// Probability that exactly n circuits are in use, indexed by n.
     pub in_use: Vec<f64>,
-    /// The share of each class that is turned away.
+    /// The share of lost calls, by class.
     pub loss: Vec<f64>,
 }
 
-/// Reckons how a group is used.
+/// Computes the state distribution of a group and the loss of each class.
 pub fn usage(classes: &[Class], circuits: u32) -> Result<Usage, InvalidInput> {
     check_circuits(f64::from(circuits))?;
     for class in classes {
@@ -40,57 +40,63 @@
         }
     }
     let size = circuits as usize;
-    let mut q = vec![0.0; size + 1];
-    q[0] = 1.0;
+    let mut weights = vec![0.0; size + 1];
+    weights[0] = 1.0;
     for n in 1..=size {
         let mut sum = 0.0;
         for class in classes {
             let width = class.width as usize;
             // A call that brings the group to n circuits in use must leave its reserve free.
             if width <= n && n + class.reserve as usize <= size {
-                sum += class.load * class.width as f64 * q[n - width];
+                sum += class.load * class.width as f64 * weights[n - width];
             }
         }
-        q[n] = sum / n as f64;
-        if q[n] > SCALE {
-            q[..=n].iter_mut().for_each(|v| *v /= SCALE);
+        weights[n] = sum / n as f64;
+        if weights[n] > RESCALE_LIMIT {
+            weights[..=n].iter_mut().for_each(|v| *v /= RESCALE_LIMIT);
         }
     }
-    let total: f64 = q.iter().sum();
-    q.iter_mut().for_each(|v| *v /= total);
+    let total: f64 = weights.iter().sum();
+    weights.iter_mut().for_each(|v| *v /= total);
     let loss = classes.iter().map(|class| {
-        let needs = class.width as usize + class.reserve as usize;
-        if needs > size {
+        let circuits_needed = class.width as usize + class.reserve as usize;
+        if circuits_needed > size {
             return 1.0;
         }
-        // From the small end, so that little is not lost in much.
-        q[size + 1 - needs..].iter().rev().sum::<f64>().min(1.0)
+        // Summed from the largest state down, where the terms are smallest, to keep their precision.
+        weights[size + 1 - circuits_needed..].iter().rev().sum::<f64>().min(1.0)
     });
-    Ok(Usage { loss: loss.collect(), in_use: q })
+    Ok(Usage { loss: loss.collect(), in_use: weights })
 }
 
-/// The fewest circuits at which no class loses more than its share, up to `most`; `None`: even that is too few.
-pub fn circuits(classes: &[Class], most_loss: &[f64], most: u32) -> Result<Option<u32>, InvalidInput> {
-    for loss in most_loss {
+/// The smallest number of circuits at which the loss of each class is at most its `max_loss`; `None` if that is above
+/// `max_circuits`.
+pub fn circuits(classes: &[Class], max_loss: &[f64], max_circuits: u32) -> Result<Option<u32>, InvalidInput> {
+    for loss in max_loss {
         crate::erlang::check_loss(*loss)?;
     }
-    if most_loss.len() != classes.len() {
-        return Err(InvalidInput::Unknown("class", most_loss.len()));
+    if max_loss.len() != classes.len() {
+        return Err(InvalidInput::Unknown("class", max_loss.len()));
     }
     let fits = |n: u32| -> Result<bool, InvalidInput> {
         let usage = usage(classes, n)?;
-        Ok(usage.loss.iter().zip(most_loss).zip(classes).all(|((b, most), c)| c.load == 0.0 || b <= most))
+        Ok(usage
+            .loss
+            .iter()
+            .zip(max_loss)
+            .zip(classes)
+            .all(|((loss, limit), class)| class.load == 0.0 || loss <= limit))
     };
-    // The loss of a wide class need not fall with every single circuit, so the last that does not fit is sought
-    // downwards from one that fits, over the widest call and its reserve.
+    // The loss of a wide class need not decrease with every single circuit. The binary search therefore stops within
+    // the width and reserve of the widest call, and the rest is searched downwards one circuit at a time.
     let step = classes.iter().map(|c| c.width + c.reserve).max().unwrap_or(1).max(1);
     let mean: f64 = classes.iter().map(|c| c.load * f64::from(c.width)).sum();
-    let mut high = (mean.ceil() as u32).max(step).min(most);
+    let mut high = (mean.ceil() as u32).max(step).min(max_circuits);
     while !fits(high)? {
-        if high == most {
+        if high == max_circuits {
             return Ok(None);
         }
-        high = high.saturating_mul(2).min(most);
+        high = high.saturating_mul(2).min(max_circuits);
     }
     let mut low = 0;
     while high - low > step {
--- a/trunks/tests/formulas.rs
+++ b/trunks/tests/formulas.rs
@@ -68,7 +68,7 @@
             let needed = losses.iter().position(|b| *b <= ratio(p, q)).unwrap() as u64;
             let loss = p as f64 / q as f64;
             assert_eq!(erlang::circuits(load, loss), Ok(needed), "{load} E at {loss}");
-            let real = erlang::circuits_real(load, loss).unwrap();
+            let real = erlang::fractional_circuits(load, loss).unwrap();
             assert!(real <= needed as f64 && real > needed as f64 - 1.0);
             assert!(close(erlang::loss(load, real).unwrap(), loss, 1e-11), "{load} on {real}");
             let back = erlang::load(real, loss).unwrap();
