--- a/measured/src/meter.rs
+++ b/measured/src/meter.rs
@@ -66,16 +66,16 @@
     exchange: u32,
     classes: Vec<Class>,
     calendar: Calendar,
-    /// Time after the first attempt within which a call to the same number is a redial, in milliseconds.
+    /// Time after the first try within which a call to the same number is a redial, in milliseconds.
     redial_window_ms: i64,
     span: Span,
     counting_since: i64,
     groups: BTreeMap<u32, GroupCounters>,
     holding: Vec<HoldingCounters>,
     uncounted: u64,
-    /// Time of the first attempt to each dialled number of which no call is known to stand, in the current
+    /// Time of the first try to each dialled number of which no call is known to stand, in the current
     /// and the previous generation.
-    first_attempts: [HashMap<u64, i64>; 2],
+    first_tries: [HashMap<u64, i64>; 2],
     generation_start: i64,
 }
 
@@ -106,7 +106,7 @@
             groups: BTreeMap::new(),
             holding: (0..count).map(|_| empty_holding()).collect(),
             uncounted: 0,
-            first_attempts: Default::default(),
+            first_tries: Default::default(),
             generation_start: now,
         }
     }
@@ -133,20 +133,19 @@
         self.group_mut(to)?.classes.get_mut(class).map(|c| c.get_or_insert_with(ClassFigures::default))
     }
 
-    /// Whether a call to `number` is a redial: within the redial window, there was an attempt that is not known to
-    /// stand. Records the attempt.
+    /// Whether a call to `number` is a redial: within the redial window, there was a try that is not known to
+    /// stand. Records the try.
     fn is_redial(&mut self, now: i64, number: u64) -> bool {
         if now >= self.generation_start + self.redial_window_ms
-            || self.first_attempts[0].len() >= MAX_DIALLED_NUMBERS
+            || self.first_tries[0].len() >= MAX_DIALLED_NUMBERS
         {
-            self.first_attempts[1] = std::mem::take(&mut self.first_attempts[0]);
+            self.first_tries[1] = std::mem::take(&mut self.first_tries[0]);
             self.generation_start = now;
         }
-        let earlier =
-            self.first_attempts[0].get(&number).or_else(|| self.first_attempts[1].get(&number)).copied();
+        let earlier = self.first_tries[0].get(&number).or_else(|| self.first_tries[1].get(&number)).copied();
         let redialled = earlier.filter(|first| now < first + self.redial_window_ms);
-        // The window starts at the first attempt, so that a caller who redials for longer is offered load again.
-        self.first_attempts[0].insert(number, redialled.unwrap_or(now));
+        // The window starts at the first try, so that a caller who redials for longer is offered load again.
+        self.first_tries[0].insert(number, redialled.unwrap_or(now));
         redialled.is_some()
     }
 
@@ -165,7 +164,7 @@
     /// Counts a call that now stands. `via` is the destination for a direct call, the tandem otherwise.
     pub fn record_standing(&mut self, call: Call, via: u32, number: Option<u64>) {
         if let Some(n) = number {
-            for generation in &mut self.first_attempts {
+            for generation in &mut self.first_tries {
                 generation.remove(&n);
             }
         }
--- a/measured/tests/measuring.rs
+++ b/measured/tests/measuring.rs
@@ -64,7 +64,7 @@
 #[test]
 fn counts_redials_apart_from_fresh_calls() {
     let mut meter = new_meter(15, SATURDAY_MS);
-    // Number 1 is lost twice, stands at the third attempt, and is called again over a tandem; number 9 is called
+    // Number 1 is lost twice, stands at the third try, and is called again over a tandem; number 9 is called
     // again after the redial window; number 4 repeats a cut call.
     for (at, number) in [(0, 1), (1_500, 1), (3_000, 1)] {
         meter.record_offered(SATURDAY_MS + at, call_to(2), Some(number), false);
