--- a/trunks/src/busy.rs
+++ b/trunks/src/busy.rs
@@ -1,7 +1,7 @@
-//! The load to dimension for. A daily average hides a peak that comes on some days only, and a mean over all days
-//! one that comes on Saturdays. So days are told apart by kind, and the hour is sought within each kind: either the
-//! time-consistent busy hour (ITU-T E.600: the hour of the clock with the highest mean load over the days of the
-//! kind) or the n-th highest hour of them all.
+//! Finds the busy hour whose load a group is sized for. A daily average or a mean over all days hides a peak that
+//! occurs on some days only, such as Saturdays. Days are therefore classified by kind, and the busy hour is found for each
+//! kind: either the time-consistent busy hour (ITU-T E.600: the hour of the day with the highest mean load over the
+//! days of the kind) or the n-th highest hour of all its days.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 
 use crate::offered::{GroupLoad, LoadEstimate};
 
-/// Days of a kind that make a mean worth relying on: four weeks have four of each weekday.
+/// Minimum number of days of a kind for a reliable mean: four weeks have four of each weekday.
 pub const MIN_DAYS: usize = 4;
-/// Minutes of an hour that must have been measured for the hour to count.
-const MEASURED: f64 = 50.0 * 60.0;
+/// Minimum measured time for an hour to be used.
+const MIN_MEASURED_SECONDS: f64 = 50.0 * 60.0;
 
 /// A kind of day.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -25,12 +25,12 @@
     Saturday,
     /// Sunday.
     Sunday,
-    /// A day that the operator has named: a race, a holiday.
+    /// A day named by the operator, such as a race or a holiday.
     Named(String),
 }
 
 impl DayKind {
-    /// What it is called.
+    /// Name of the kind.
     pub fn name(&self) -> &str {
         match self {
             DayKind::Weekday => "weekday",
@@ -41,49 +41,49 @@
     }
 }
 
-/// Which hour is taken.
+/// How the busy hour is selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BusyHourRule {
-    /// The hour of the clock that is highest on the mean over the days of its kind.
+    /// The hour of the day with the highest mean load over the days of the kind.
     TimeConsistent,
     /// The n-th highest hour of all days of the kind; 1 is the highest.
     NthHighest(usize),
 }
 
-/// Days that have a name of their own, by date.
+/// Names of days named by the operator, by date (year, month, day).
 pub type NamedDays = BTreeMap<(i16, i8, i8), String>;
 
-/// The hour that was found for a kind of day.
+/// The busy hour of a kind of day.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BusyHour {
-    /// The kind of day.
+    /// Kind of day.
     pub kind: DayKind,
-    /// Minute of the day at which it begins.
+    /// Minute of the day at which the hour starts.
     pub minute: u32,
-    /// LoadEstimate of each class in calls, by name, with its interval.
+    /// Width and load (in erlang of calls) of each class, by name.
     pub classes: BTreeMap<String, (u32, LoadEstimate)>,
-    /// All classes together, in circuits.
+    /// Load of all classes, in erlang of circuits.
     pub load: LoadEstimate,
-    /// Calls in transit over it, in circuits.
+    /// Load of calls in transit, in erlang of circuits.
     pub transit: f64,
-    /// Days of the kind that had this hour.
+    /// Number of days with a measurement of this hour.
     pub days: usize,
-    /// Share of the hour with no circuit free, at the most over the days.
+    /// Share of the hour with no circuit free, maximum over the days.
     pub full: f64,
-    /// Whether both ends' figures were there on all days.
+    /// Whether the measurements of both ends were present on all days.
     pub both_ends: bool,
-    /// Further tries for each fresh call.
+    /// Redials per fresh call.
     pub redials: f64,
 }
 
 impl BusyHour {
-    /// Whether there are enough days to rely on it.
+    /// Whether the number of days suffices for a reliable mean; a named day needs no minimum.
     pub fn has_enough_days(&self) -> bool {
         self.days >= MIN_DAYS || matches!(self.kind, DayKind::Named(_))
     }
 }
 
-/// One hour of one day: sums over its intervals.
+/// Sums over the intervals of one hour of one day.
 #[derive(Clone, Debug, Default)]
 struct Hour {
     seconds: f64,
@@ -97,24 +97,28 @@
 
 impl Hour {
     fn add(&mut self, load: &GroupLoad) {
-        let s = load.seconds;
-        self.seconds += s;
+        let seconds = load.seconds;
+        self.seconds += seconds;
         for (name, class) in &load.classes {
             let sum = self.classes.entry(name.clone()).or_default();
             sum.0 = class.width;
-            // Erlang-seconds: deviations of intervals add in squares.
-            let f = class.fresh;
-            sum.1 = sum.1.plus(LoadEstimate { mean: f.mean * s, low: f.low * s, high: f.high * s });
-            self.transit += class.transit * f64::from(class.width) * s;
+            // In erlang-seconds; the deviations of the intervals add in squares.
+            let fresh = class.fresh;
+            sum.1 = sum.1.plus(LoadEstimate {
+                mean: fresh.mean * seconds,
+                low: fresh.low * seconds,
+                high: fresh.high * seconds,
+            });
+            self.transit += class.transit * f64::from(class.width) * seconds;
             self.calls += class.calls;
             self.redials += class.redials;
         }
-        self.full += load.full * s;
+        self.full += load.full * seconds;
         self.one_end |= !load.both_ends;
     }
 
-    /// In erlang, over the time that was measured.
-    fn scaled(mut self) -> Hour {
+    /// Divides the sums by the measured time, which gives erlang.
+    fn into_erlang(mut self) -> Hour {
         for (_, load) in self.classes.values_mut() {
             *load = scale(*load, 1.0 / self.seconds);
         }
@@ -123,19 +127,19 @@
         self
     }
 
-    fn circuits(&self) -> LoadEstimate {
-        let wide = self.classes.values().map(|(w, l)| scale(*l, f64::from(*w)));
-        wide.fold(LoadEstimate::default(), LoadEstimate::plus)
+    fn load_in_circuits(&self) -> LoadEstimate {
+        let in_circuits = self.classes.values().map(|(w, l)| scale(*l, f64::from(*w)));
+        in_circuits.fold(LoadEstimate::default(), LoadEstimate::plus)
     }
 }
 
-fn scale(load: LoadEstimate, by: f64) -> LoadEstimate {
-    LoadEstimate { mean: load.mean * by, low: load.low * by, high: load.high * by }
+fn scale(load: LoadEstimate, factor: f64) -> LoadEstimate {
+    LoadEstimate { mean: load.mean * factor, low: load.low * factor, high: load.high * factor }
 }
 
 type Day = (i16, i8, i8);
 
-/// Finds the busy hour of each kind of day in a group's loads. Hours begin at any interval's beginning and lie
+/// Finds the busy hour of each kind of day in a group's loads. An hour starts at the start of any interval and lies
 /// within one day.
 pub fn busy_hours(
     loads: &[GroupLoad],
@@ -155,7 +159,7 @@
         };
         days.entry((kind, local.date)).or_default().push((minute, load));
     }
-    // By kind and by the minute at which they begin, the hours of all days.
+    // The hours of all days, by kind of day and start minute.
     let mut hours: BTreeMap<DayKind, BTreeMap<u32, Vec<Hour>>> = BTreeMap::new();
     for ((kind, _), intervals) in &days {
         let starts: std::collections::BTreeSet<u32> = intervals.iter().map(|(m, _)| *m).collect();
@@ -163,40 +167,44 @@
             let mut hour = Hour::default();
             let within = intervals.iter().filter(|(m, _)| (start..start + 60).contains(m));
             within.for_each(|(_, load)| hour.add(load));
-            if hour.seconds >= MEASURED {
+            if hour.seconds >= MIN_MEASURED_SECONDS {
                 let by_minute = hours.entry(kind.clone()).or_default();
-                by_minute.entry(start).or_default().push(hour.scaled());
+                by_minute.entry(start).or_default().push(hour.into_erlang());
             }
         }
     }
-    hours.into_iter().filter_map(|(kind, by_minute)| find(kind, by_minute, rule)).collect()
+    hours.into_iter().filter_map(|(kind, by_minute)| find_busy_hour(kind, by_minute, rule)).collect()
 }
 
-fn find(kind: DayKind, by_minute: BTreeMap<u32, Vec<Hour>>, rule: BusyHourRule) -> Option<BusyHour> {
+fn find_busy_hour(
+    kind: DayKind,
+    by_minute: BTreeMap<u32, Vec<Hour>>,
+    rule: BusyHourRule,
+) -> Option<BusyHour> {
     match rule {
         BusyHourRule::TimeConsistent => {
-            let most = by_minute.values().map(Vec::len).max()?;
-            // An hour that few of the days have tells of those few.
-            let common = by_minute.into_iter().filter(|(_, hours)| 2 * hours.len() > most);
-            let means = common.map(|(minute, hours)| mean(kind.clone(), minute, hours));
-            // Of equal hours the first.
+            let max_days = by_minute.values().map(Vec::len).max()?;
+            // An hour measured on half of the days or fewer does not represent the kind.
+            let common = by_minute.into_iter().filter(|(_, hours)| 2 * hours.len() > max_days);
+            let means = common.map(|(minute, hours)| mean_over_days(kind.clone(), minute, hours));
+            // The earliest of equal hours wins.
             means
                 .reduce(|best, hour| if hour.load.mean > best.load.mean * (1.0 + 1e-9) { hour } else { best })
         }
         BusyHourRule::NthHighest(n) => {
             let days = by_minute.values().map(Vec::len).max()?;
             let all = by_minute.into_iter().flat_map(|(m, hours)| hours.into_iter().map(move |h| (m, h)));
-            // Hours that overlap are one peak: only those that begin on the hour are ranked.
+            // Overlapping hours show the same peak, so only full clock hours are ranked.
             let mut all: Vec<(u32, Hour)> = all.filter(|(m, _)| m % 60 == 0).collect();
-            all.sort_by(|a, b| b.1.circuits().mean.total_cmp(&a.1.circuits().mean));
+            all.sort_by(|a, b| b.1.load_in_circuits().mean.total_cmp(&a.1.load_in_circuits().mean));
             let (minute, hour) = all.into_iter().nth(n.max(1) - 1)?;
-            Some(BusyHour { days, ..mean(kind, minute, vec![hour]) })
+            Some(BusyHour { days, ..mean_over_days(kind, minute, vec![hour]) })
         }
     }
 }
 
-/// The mean of the same hour over several days.
-fn mean(kind: DayKind, minute: u32, hours: Vec<Hour>) -> BusyHour {
+/// Averages the same hour over several days.
+fn mean_over_days(kind: DayKind, minute: u32, hours: Vec<Hour>) -> BusyHour {
     let days = hours.len();
     let share = 1.0 / days as f64;
     let mut classes: BTreeMap<String, (u32, LoadEstimate)> = BTreeMap::new();
@@ -207,17 +215,17 @@
         }
     }
     classes.values_mut().for_each(|(_, load)| *load = scale(*load, share));
-    let sums = hours.iter().fold((0, 0), |s, h| (s.0 + h.calls, s.1 + h.redials));
-    let all = classes.values().map(|(w, l)| scale(*l, f64::from(*w)));
+    let call_sums = hours.iter().fold((0, 0), |s, h| (s.0 + h.calls, s.1 + h.redials));
+    let in_circuits = classes.values().map(|(w, l)| scale(*l, f64::from(*w)));
     BusyHour {
         kind,
         minute,
-        load: all.fold(LoadEstimate::default(), LoadEstimate::plus),
+        load: in_circuits.fold(LoadEstimate::default(), LoadEstimate::plus),
         classes,
         transit: hours.iter().map(|h| h.transit).sum::<f64>() * share,
         days,
         full: hours.iter().map(|h| h.full).fold(0.0, f64::max),
         both_ends: !hours.iter().any(|h| h.one_end),
-        redials: sums.1 as f64 / (sums.0.max(1)) as f64,
+        redials: call_sums.1 as f64 / (call_sums.0.max(1)) as f64,
     }
 }
--- a/trunks/src/network.rs
+++ b/trunks/src/network.rs
@@ -1,126 +1,127 @@
-//! A network of groups with tandem alternatives, as a fixed point (Erlang's, with alternative routing: Katz 1967,
-//! Akinpelu 1984). A call that its direct group turns away is offered to tandems, in turn; it takes a circuit of
-//! both groups there, and finds one only above what each keeps for its own calls. The streams on a group are taken
-//! for Poisson and the groups for independent.
+//! Erlang fixed-point approximation of a network of groups with tandem alternatives (alternative routing: Katz 1967,
+//! Akinpelu 1984). A call rejected by its direct group is offered to its tandems in turn. There it occupies a circuit
+//! of both groups and is rejected if either group has no more free circuits than it reserves for its own calls. The
+//! streams on a group are assumed to be Poisson, and the groups to be independent.
 //!
-//! Without reservation such networks can have two states for the same load, one that carries most calls directly
-//! and one in which alternatives crowd out direct calls (Krupp 1982, Akinpelu 1984). The iteration is run from an
-//! empty network and from a full one; where it ends in different places both are named.
+//! Without reservation such a network can be bistable: for the same load, it has one state that carries most calls
+//! directly and one in which alternative calls displace direct calls (Krupp 1982, Akinpelu 1984). The iteration
+//! therefore starts both from an empty and from a full network, and both results are returned if they differ.
 
 use crate::erlang::{check_circuits, check_load};
 use crate::InvalidInput;
 
-/// Iterations after which a fixed point is given up.
-const MOST_ROUNDS: usize = 2_000;
-/// It is held to be reached when no loss moves by more than this.
-const SETTLED: f64 = 1e-10;
-/// Two solutions are two if a loss differs by more than this.
-const APART: f64 = 1e-3;
-/// Weight of the new figures in each round; less where they would swing.
-const DAMPING: [f64; 3] = [0.7, 0.35, 0.1];
+/// Maximum number of iterations.
+const MAX_ITERATIONS: usize = 2_000;
+/// The iteration has converged when no loss changes by this much or more.
+const CONVERGENCE_TOLERANCE: f64 = 1e-10;
+/// Two solutions are distinct if a loss differs by more than this.
+const MIN_SOLUTION_DIFFERENCE: f64 = 1e-3;
+/// Weights of the new losses in each iteration, tried in turn until the iteration converges without oscillating.
+const DAMPING_FACTORS: [f64; 3] = [0.7, 0.35, 0.1];
 
-/// A group between two nodes.
+/// A trunk group between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Group {
-    /// Its ends.
+    /// Its two nodes.
     pub ends: (usize, usize),
-    /// Its circuits.
+    /// Number of circuits.
     pub circuits: u32,
-    /// Circuits kept from calls that are not its own.
+    /// Trunk reservation: circuits not available to calls that use the group as part of a tandem route.
     pub reserve: u32,
 }
 
-/// Calls between two nodes, both directions together.
+/// Calls between two nodes, in both directions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
-    /// Its ends.
+    /// The two nodes.
     pub ends: (usize, usize),
     /// Load offered, in erlang.
     pub load: f64,
-    /// Tandems that are tried in turn when the direct group is full.
+    /// Tandems tried in turn when the direct group is full.
     pub tandems: Vec<usize>,
 }
 
-/// The network.
+/// A network of trunk groups and the calls offered to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Network {
-    /// How many nodes there are.
+    /// Number of nodes.
     pub nodes: usize,
     /// Groups, at most one between two nodes.
     pub groups: Vec<Group>,
-    /// What is offered.
+    /// Offered calls.
     pub demands: Vec<Demand>,
 }
 
-/// A state of the network that holds itself up.
+/// A fixed point of the network.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Solution {
-    /// By demand: the share of its calls that find no way.
+    /// Lost share of the calls, by demand.
     pub loss: Vec<f64>,
-    /// By group: the share of its own calls, and of others', that it turns away.
+    /// Rejected shares of direct calls and of alternative calls, by group.
     pub blocked: Vec<(f64, f64)>,
-    /// By group: load offered by its own calls and by others', in erlang.
+    /// Loads offered by direct calls and by alternative calls in erlang, by group.
     pub offered: Vec<(f64, f64)>,
-    /// Share of all calls that is lost.
+    /// Lost share of all calls.
     pub total_loss: f64,
-    /// Share of all calls that is carried over tandems.
+    /// Share of all calls carried over tandems.
     pub by_tandem: f64,
-    /// Rounds that it took.
+    /// Number of iterations.
     pub iterations: usize,
-    /// Whether it settled; if not, the figures are those of the last round.
+    /// Whether the iteration converged; if not, the values are those of the last iteration.
     pub converged: bool,
 }
 
-/// What the network comes to.
+/// The fixed points that were found.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Solutions {
-    /// The state that is reached from an empty network.
+    /// The fixed point reached from an empty network.
     pub from_empty: Solution,
-    /// The one that is reached from a full network, where that is another.
+    /// The fixed point reached from a full network, if it is a different one.
     pub from_full: Option<Solution>,
 }
 
 impl Solutions {
-    /// Whether the network can stay in two states under this load.
+    /// Whether the network has two stable states under this load.
     pub fn bistable(&self) -> bool {
         self.from_full.is_some()
     }
 }
 
-/// Losses of a group that is offered `own` erlang, and `others` while more than its reserve is free: a chain of
-/// births and deaths. Own calls lose when all is busy, others when what is free is kept.
-pub fn group_loss(own: f64, others: f64, circuits: u32, reserve: u32) -> (f64, f64) {
-    let (size, open) = (circuits as usize, circuits.saturating_sub(reserve) as usize);
+/// Losses of direct and of alternative calls on a group, as a birth-death process. The group is offered `direct`
+/// erlang, and `alternative` erlang while more circuits are free than it reserves. Direct calls are lost when all
+/// circuits are busy, alternative calls when at most the reserve is free.
+pub fn group_loss(direct: f64, alternative: f64, circuits: u32, reserve: u32) -> (f64, f64) {
+    let (size, unreserved) = (circuits as usize, circuits.saturating_sub(reserve) as usize);
     if size == 0 {
         return (1.0, 1.0);
     }
-    // Shares of time, relative to the state at `open`, summed outwards from there: nothing overflows downwards
-    // or upwards, for each term is formed from its neighbour and the terms fall off on both sides of the mode.
-    // Scaled against the largest so far.
-    let (mut p, mut total, mut kept) = (1.0f64, 1.0f64, if open == 0 { 1.0 } else { 0.0 });
+    // State probabilities relative to the empty group, each computed from its neighbour. All sums are scaled down
+    // together before they overflow.
+    let (mut p, mut total, mut reserved) = (1.0f64, 1.0f64, if unreserved == 0 { 1.0 } else { 0.0 });
     for n in 1..=size {
-        let rate = if n <= open { own + others } else { own };
+        let rate = if n <= unreserved { direct + alternative } else { direct };
         p *= rate / n as f64;
         total += p;
-        if n >= open {
-            kept += p;
+        if n >= unreserved {
+            reserved += p;
         }
         if total > 1e250 {
-            (p, total, kept) = (p * 1e-250, total * 1e-250, kept * 1e-250);
+            (p, total, reserved) = (p * 1e-250, total * 1e-250, reserved * 1e-250);
         }
     }
-    (p / total, kept / total)
+    (p / total, reserved / total)
 }
 
-struct Plan {
-    /// By demand: its direct group.
+/// The groups that each demand uses, as indices into [`Network::groups`].
+struct RoutePlan {
+    /// The direct group, by demand.
     direct: Vec<Option<usize>>,
-    /// By demand: pairs of groups, one for each tandem that has both.
-    ways: Vec<Vec<(usize, usize)>>,
+    /// The two groups of each tandem route, by demand; tandems without a group to both ends are left out.
+    tandem_routes: Vec<Vec<(usize, usize)>>,
 }
 
 impl Network {
-    fn plan(&self) -> Result<Plan, InvalidInput> {
+    fn route_plan(&self) -> Result<RoutePlan, InvalidInput> {
         let mut between = vec![None; self.nodes * self.nodes];
         for (i, group) in self.groups.iter().enumerate() {
             let (a, b) = group.ends;
@@ -131,80 +132,83 @@
             between[a * self.nodes + b] = Some(i);
             between[b * self.nodes + a] = Some(i);
         }
-        let (mut direct, mut ways) = (Vec::new(), Vec::new());
+        let (mut direct, mut tandem_routes) = (Vec::new(), Vec::new());
         for demand in &self.demands {
             check_load(demand.load)?;
             let (a, b) = demand.ends;
             let all = demand.tandems.iter().copied().chain([a, b]);
-            if let Some(none) = all.filter(|n| *n >= self.nodes).max() {
-                return Err(InvalidInput::Unknown("node", none));
+            if let Some(unknown) = all.filter(|n| *n >= self.nodes).max() {
+                return Err(InvalidInput::Unknown("node", unknown));
             }
             direct.push(between[a * self.nodes + b]);
-            let pair = |t: &usize| between[a * self.nodes + t].zip(between[t * self.nodes + b]);
-            ways.push(demand.tandems.iter().filter_map(pair).collect());
+            let route_over = |t: &usize| between[a * self.nodes + t].zip(between[t * self.nodes + b]);
+            tandem_routes.push(demand.tandems.iter().filter_map(route_over).collect());
         }
-        Ok(Plan { direct, ways })
+        Ok(RoutePlan { direct, tandem_routes })
     }
 
-    /// Finds the state that is reached from an empty network, and the one from a full network if that is another.
+    /// Finds the fixed point reached from an empty network, and the one reached from a full network if it differs.
     pub fn solve(&self) -> Result<Solutions, InvalidInput> {
-        let plan = self.plan()?;
+        let plan = self.route_plan()?;
         let from_empty = self.iterate(&plan, 0.0);
         let from_full = self.iterate(&plan, 0.9);
-        let far = from_empty.loss.iter().zip(&from_full.loss).any(|(a, b)| (a - b).abs() > APART);
-        let apart = far && from_full.converged && from_empty.converged;
-        Ok(Solutions { from_empty, from_full: Some(from_full).filter(|_| apart) })
+        let differs =
+            from_empty.loss.iter().zip(&from_full.loss).any(|(a, b)| (a - b).abs() > MIN_SOLUTION_DIFFERENCE);
+        let is_distinct = differs && from_full.converged && from_empty.converged;
+        Ok(Solutions { from_empty, from_full: Some(from_full).filter(|_| is_distinct) })
     }
 
-    fn iterate(&self, plan: &Plan, start: f64) -> Solution {
+    fn iterate(&self, plan: &RoutePlan, initial_loss: f64) -> Solution {
         let mut last = None;
-        for damping in DAMPING {
-            let solution = self.iterate_damped(plan, start, damping);
+        for damping in DAMPING_FACTORS {
+            let solution = self.iterate_damped(plan, initial_loss, damping);
             if solution.converged {
                 return solution;
             }
             last = Some(solution);
         }
-        last.expect("there is a damping")
+        last.expect("DAMPING_FACTORS is not empty")
     }
 
-    fn iterate_damped(&self, plan: &Plan, start: f64, damping: f64) -> Solution {
-        let mut blocked = vec![(start, start); self.groups.len()];
+    fn iterate_damped(&self, plan: &RoutePlan, initial_loss: f64, damping: f64) -> Solution {
+        let mut blocked = vec![(initial_loss, initial_loss); self.groups.len()];
         let (mut iterations, mut converged) = (0, false);
         let mut offered = Vec::new();
-        while iterations < MOST_ROUNDS && !converged {
+        while iterations < MAX_ITERATIONS && !converged {
             iterations += 1;
-            offered = self.offered(plan, &blocked);
-            let mut moved: f64 = 0.0;
+            offered = self.offered_loads(plan, &blocked);
+            let mut max_change: f64 = 0.0;
             for ((group, load), old) in self.groups.iter().zip(&offered).zip(&mut blocked) {
                 let new = group_loss(load.0, load.1, group.circuits, group.reserve);
-                let step = (new.0 - old.0, new.1 - old.1);
-                moved = moved.max(step.0.abs()).max(step.1.abs());
-                *old = (old.0 + damping * step.0, old.1 + damping * step.1);
+                let change = (new.0 - old.0, new.1 - old.1);
+                max_change = max_change.max(change.0.abs()).max(change.1.abs());
+                *old = (old.0 + damping * change.0, old.1 + damping * change.1);
             }
-            converged = moved < SETTLED;
+            converged = max_change < CONVERGENCE_TOLERANCE;
         }
         self.solution(plan, blocked, offered, iterations, converged)
     }
 
-    /// What each group is offered when the groups turn away these shares.
-    fn offered(&self, plan: &Plan, blocked: &[(f64, f64)]) -> Vec<(f64, f64)> {
+    /// The loads offered to each group, given the shares that the groups reject.
+    fn offered_loads(&self, plan: &RoutePlan, blocked: &[(f64, f64)]) -> Vec<(f64, f64)> {
         let mut offered = vec![(0.0, 0.0); self.groups.len()];
-        for ((demand, direct), ways) in self.demands.iter().zip(&plan.direct).zip(&plan.ways) {
-            let mut left = demand.load;
+        for ((demand, direct), tandem_routes) in
+            self.demands.iter().zip(&plan.direct).zip(&plan.tandem_routes)
+        {
+            let mut remaining = demand.load;
             if let Some(group) = direct {
-                offered[*group].0 += left;
-                left *= blocked[*group].0;
+                offered[*group].0 += remaining;
+                remaining *= blocked[*group].0;
             }
-            for (first, second) in ways {
-                if left <= 0.0 {
+            for (first, second) in tandem_routes {
+                if remaining <= 0.0 {
                     break;
                 }
-                // A group is offered only what the other one of the pair lets through.
-                let open = (1.0 - blocked[*first].1, 1.0 - blocked[*second].1);
-                offered[*first].1 += left * open.1;
-                offered[*second].1 += left * open.0;
-                left *= 1.0 - open.0 * open.1;
+                // Each group of the route is offered only the calls that the other group accepts.
+                let accepted = (1.0 - blocked[*first].1, 1.0 - blocked[*second].1);
+                offered[*first].1 += remaining * accepted.1;
+                offered[*second].1 += remaining * accepted.0;
+                remaining *= 1.0 - accepted.0 * accepted.1;
             }
         }
         offered
@@ -212,24 +216,28 @@
 
     fn solution(
         &self,
-        plan: &Plan,
+        plan: &RoutePlan,
         blocked: Vec<(f64, f64)>,
         offered: Vec<(f64, f64)>,
         iterations: usize,
         converged: bool,
     ) -> Solution {
         let (mut lost, mut by_tandem, mut total) = (0.0, 0.0, 0.0);
-        let shares = self.demands.iter().zip(&plan.direct).zip(&plan.ways).map(|((demand, direct), ways)| {
-            let after_direct = direct.map_or(1.0, |g| blocked[g].0);
-            let open = |(a, b): &(usize, usize)| (1.0 - blocked[*a].1) * (1.0 - blocked[*b].1);
-            let loss = ways.iter().fold(after_direct, |left, way| left * (1.0 - open(way)));
-            lost += demand.load * loss;
-            by_tandem += demand.load * (after_direct - loss);
-            total += demand.load;
-            loss
-        });
-        let loss: Vec<f64> = shares.collect();
-        let share = |of: f64| if total > 0.0 { of / total } else { 0.0 };
+        let losses = self.demands.iter().zip(&plan.direct).zip(&plan.tandem_routes).map(
+            |((demand, direct), tandem_routes)| {
+                let after_direct = direct.map_or(1.0, |g| blocked[g].0);
+                let accepted = |(a, b): &(usize, usize)| (1.0 - blocked[*a].1) * (1.0 - blocked[*b].1);
+                let loss = tandem_routes
+                    .iter()
+                    .fold(after_direct, |remaining, route| remaining * (1.0 - accepted(route)));
+                lost += demand.load * loss;
+                by_tandem += demand.load * (after_direct - loss);
+                total += demand.load;
+                loss
+            },
+        );
+        let loss: Vec<f64> = losses.collect();
+        let share = |load: f64| if total > 0.0 { load / total } else { 0.0 };
         let (total_loss, by_tandem) = (share(lost), share(by_tandem));
         Solution { loss, blocked, offered, total_loss, by_tandem, iterations, converged }
     }
--- a/trunks/src/offered.rs
+++ b/trunks/src/offered.rs
@@ -1,10 +1,10 @@
-//! The load that was offered, from what controllers measured.
+//! Estimates the offered load from the controllers' measurements.
 //!
-//! A controller sees every fresh call of its own callers, also those that found no circuit, so its own side's load
-//! is the rate of fresh calls times the mean holding time; redials are not offered load. The other end's calls are
-//! in the other end's files. Where those are missing, what the other side carried is what the circuits in use show
-//! beyond the own calls, and what it offered follows from how a group of that size loses: near saturation hardly
-//! anything of it is seen, and the interval says so.
+//! A controller counts every fresh call of its own callers, including those that found no free circuit. The load
+//! offered by its end is therefore the rate of fresh calls times the mean holding time; redials are not offered load.
+//! The calls of the other end are in the other end's files. If those are missing, the other end's carried load is the
+//! circuits in use beyond the own calls, and its offered load follows from the loss of a group of that size. Near
+//! saturation, the circuits in use hardly depend on the offered load, and the confidence interval becomes wide.
 
 use std::collections::BTreeMap;
 
@@ -14,27 +14,27 @@
 
 use crate::erlang;
 
-/// Level of the intervals that are given.
+/// Confidence level of all intervals.
 pub const CONFIDENCE_LEVEL: f64 = 0.95;
-/// The point of the normal distribution that goes with it.
-const POINT: f64 = 1.959_963_984_540_054;
+/// Quantile of the standard normal distribution for a two-sided interval at [`CONFIDENCE_LEVEL`].
+const NORMAL_QUANTILE: f64 = 1.959_963_984_540_054;
 
-/// Two ends of a group, the lower number first.
+/// Exchange numbers of the two ends of a group, the lower one first.
 pub type Ends = (u32, u32);
 
-/// A load with its interval, in erlang.
+/// A load with its confidence interval, in erlang.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadEstimate {
     /// The estimate.
     pub mean: f64,
-    /// The interval's lower end.
+    /// Lower bound of the interval.
     pub low: f64,
-    /// Its upper end; without end where a group was too full to see how much was offered.
+    /// Upper bound of the interval; infinite if the group was too full to estimate the offered load.
     pub high: f64,
 }
 
 impl LoadEstimate {
-    /// The sum of loads that do not depend on each other: their deviations add in squares.
+    /// The sum of two independent estimates, whose deviations add in squares.
     pub fn plus(self, other: LoadEstimate) -> LoadEstimate {
         let mean = self.mean + other.mean;
         let down = (self.mean - self.low).hypot(other.mean - other.low);
@@ -43,62 +43,70 @@
     }
 }
 
-/// What is known of a class's holding times, over all files.
+/// Holding-time statistics of a class, over all files.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HoldingStats {
-    /// Calls.
+    /// Number of calls.
     pub calls: u64,
-    /// Their sum and sum of squares, in seconds.
+    /// Sum of the holding times, in seconds.
     pub seconds: f64,
-    /// See [`HoldingStats::seconds`].
+    /// Sum of the squares of the holding times, in seconds squared.
     pub squares: f64,
 }
 
 impl HoldingStats {
-    /// The mean, in seconds.
+    /// Mean holding time, in seconds; `None` without calls.
     pub fn mean(&self) -> Option<f64> {
         (self.calls > 0).then(|| self.seconds / self.calls as f64)
     }
 
-    /// The squared coefficient of variation of the mean.
+    /// Squared coefficient of variation of the estimated mean.
     fn relative_variance(&self) -> f64 {
         let n = self.calls as f64;
         let Some(mean) = self.mean().filter(|m| *m > 0.0) else { return 1.0 };
         let variance = (self.squares / n - mean * mean).max(0.0);
-        // With a handful of calls their spread is not known: held to be exponential.
-        let cv2 = if self.calls < 10 { 1.0 } else { variance / (mean * mean) };
-        cv2 / n
+        // Fewer than 10 calls do not show the spread; an exponential distribution is assumed.
+        let squared_variation = if self.calls < 10 { 1.0 } else { variance / (mean * mean) };
+        squared_variation / n
     }
 }
 
-/// The load that so many Poisson arrivals in this time tell of: Garwood's exact interval for the count, widened by
-/// what is not known of the holding time.
+/// Estimates the offered load from the number of Poisson arrivals in a time: Garwood's exact interval for the count,
+/// widened by the uncertainty of the mean holding time.
 pub fn load_from_arrivals(calls: u64, seconds: f64, holding: &HoldingStats) -> LoadEstimate {
     let Some(mean) = holding.mean().filter(|_| seconds > 0.0) else {
         return LoadEstimate { mean: 0.0, low: 0.0, high: if calls == 0 { 0.0 } else { f64::INFINITY } };
     };
     let n = calls as f64;
     let tail = (1.0 - CONFIDENCE_LEVEL) / 2.0;
-    let chi = |p: f64, freedom: f64| ChiSquared::new(freedom).map_or(0.0, |d| d.inverse_cdf(p) / 2.0);
-    let low = if calls == 0 { 0.0 } else { chi(tail, 2.0 * n) };
-    let high = chi(1.0 - tail, 2.0 * n + 2.0);
-    let (scale, spread) = (mean / seconds, POINT * holding.relative_variance().sqrt());
+    let half_chi_squared = |p: f64, degrees_of_freedom: f64| {
+        ChiSquared::new(degrees_of_freedom).map_or(0.0, |d| d.inverse_cdf(p) / 2.0)
+    };
+    let low = if calls == 0 { 0.0 } else { half_chi_squared(tail, 2.0 * n) };
+    let high = half_chi_squared(1.0 - tail, 2.0 * n + 2.0);
+    let (load_per_call, log_deviation) =
+        (mean / seconds, NORMAL_QUANTILE * holding.relative_variance().sqrt());
     if calls == 0 {
-        return LoadEstimate { mean: 0.0, low: 0.0, high: high * scale * spread.exp() };
+        return LoadEstimate { mean: 0.0, low: 0.0, high: high * load_per_call * log_deviation.exp() };
+    }
+    // Count and holding time are independent, so the deviations of their logarithms add in squares.
+    let down = (n / low).ln().hypot(log_deviation);
+    let up = (high / n).ln().hypot(log_deviation);
+    LoadEstimate {
+        mean: n * load_per_call,
+        low: n * load_per_call * (-down).exp(),
+        high: n * load_per_call * up.exp(),
     }
-    // Count and holding time do not depend on each other: the logarithms' deviations add in squares.
-    let down = (n / low).ln().hypot(spread);
-    let up = (high / n).ln().hypot(spread);
-    LoadEstimate { mean: n * scale, low: n * scale * (-down).exp(), high: n * scale * up.exp() }
 }
 
-/// The load that so many circuits in use on average tell of, on a group of so many: that which carries just this.
-/// `mean_hold` and `seconds` say how far an average over the time can be off (Riordan 1951: 2 A h / T at the most).
+/// Estimates the offered load from the mean number of circuits in use: the load of which `carried` erlang are carried
+/// on `circuits`. The variance of an average over `seconds` (T) is at most 2 A h / T (Riordan 1951), where h is
+/// `mean_hold`, the mean holding time in seconds.
 pub fn load_from_usage(carried: f64, circuits: f64, mean_hold: f64, seconds: f64) -> LoadEstimate {
     if carried <= 0.0 || seconds <= 0.0 {
         return LoadEstimate::default();
     }
-    let off = POINT * (2.0 * carried * mean_hold / seconds).sqrt();
+    let margin = NORMAL_QUANTILE * (2.0 * carried * mean_hold / seconds).sqrt();
     let offered = |carried: f64| -> f64 {
         if carried <= 0.0 {
             return 0.0;
@@ -106,10 +114,10 @@
         if carried >= circuits * (1.0 - 1e-6) {
             return f64::INFINITY;
         }
-        // What is carried grows with what is offered, and never beyond it.
+        // The carried load increases with the offered load and never exceeds it.
         let (mut low, mut high) = (carried, carried.max(1.0));
-        let through = |a: f64| a * (1.0 - erlang::loss_unchecked(a, circuits));
-        while through(high) < carried {
+        let carried_of = |a: f64| a * (1.0 - erlang::loss_unchecked(a, circuits));
+        while carried_of(high) < carried {
             high *= 2.0;
             if high > erlang::MAX_LOAD_ERLANG {
                 return f64::INFINITY;
@@ -117,7 +125,7 @@
         }
         for _ in 0..100 {
             let middle = 0.5 * (low + high);
-            if through(middle) < carried {
+            if carried_of(middle) < carried {
                 low = middle;
             } else {
                 high = middle;
@@ -125,57 +133,61 @@
         }
         0.5 * (low + high)
     };
-    let (low, high) = (offered(carried - off), offered(carried + off));
+    let (low, high) = (offered(carried - margin), offered(carried + margin));
     let mean = offered(carried.min(circuits * 0.999));
     LoadEstimate { mean, low: low.min(mean), high: high.max(mean) }
 }
 
-/// What was offered to one group by one class in one interval.
+/// The load of one class on one group in one interval.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ClassLoad {
-    /// Circuits of one call.
+    /// Circuits that one call takes.
     pub width: u32,
     /// Fresh calls of both ends, in erlang of calls.
     pub fresh: LoadEstimate,
-    /// Calls in transit, carried, in erlang of calls. They are no load of the pair's own.
+    /// Carried calls in transit, in erlang of calls. They are not part of the offered load of the pair of exchanges.
     pub transit: f64,
-    /// Fresh calls counted, and further tries beside them.
+    /// Number of fresh calls.
     pub calls: u64,
-    /// See [`ClassLoad::calls`].
+    /// Number of redials.
     pub redials: u64,
 }
 
-/// What was offered to one group in one interval.
+/// The load of one group in one interval.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct GroupLoad {
-    /// Where the interval begins, in Unix milliseconds.
+    /// Start of the interval, in Unix milliseconds.
     pub from: i64,
-    /// Seconds that were measured at the end that measured longest.
+    /// Measured time at the end that measured longer, in seconds.
     pub seconds: f64,
-    /// Circuits that there are.
+    /// Circuits of the group.
     pub circuits: f64,
-    /// Mean of the circuits in use, of whomever.
+    /// Mean number of circuits in use, by calls of both ends and calls in transit.
     pub in_use: f64,
     /// Share of the time with no circuit free.
     pub full: f64,
-    /// Whether both ends' files are there; if not, the other side is reckoned from the circuits in use.
+    /// Whether the files of both ends are present; if not, the other end's load is estimated from the circuits in use.
     pub both_ends: bool,
-    /// By class.
+    /// Loads by class name.
     pub classes: BTreeMap<String, ClassLoad>,
 }
 
 impl GroupLoad {
-    /// All classes' fresh load, in circuits.
+    /// Fresh load of all classes, in erlang of circuits.
     pub fn circuits_offered(&self) -> LoadEstimate {
-        let wide = |c: &ClassLoad| {
-            let w = f64::from(c.width);
-            LoadEstimate { mean: w * c.fresh.mean, low: w * c.fresh.low, high: w * c.fresh.high }
+        let in_circuits = |class: &ClassLoad| {
+            let width = f64::from(class.width);
+            LoadEstimate {
+                mean: width * class.fresh.mean,
+                low: width * class.fresh.low,
+                high: width * class.fresh.high,
+            }
         };
-        self.classes.values().map(wide).fold(LoadEstimate::default(), LoadEstimate::plus)
+        self.classes.values().map(in_circuits).fold(LoadEstimate::default(), LoadEstimate::plus)
     }
 }
 
-/// HoldingStats times by class, over all intervals.
+/// Holding-time statistics by class, over all intervals.
 pub fn holding_stats(intervals: &[Interval]) -> BTreeMap<String, HoldingStats> {
     let mut found: BTreeMap<String, HoldingStats> = BTreeMap::new();
     for h in intervals.iter().flat_map(|i| &i.holding) {
@@ -187,8 +199,9 @@
     found
 }
 
-/// Puts the files of all exchanges together: for each group its loads, interval by interval. An interval of one end
-/// belongs to that of the other whose beginning is nearest, within half its length: clocks may differ.
+/// Combines the intervals of all exchanges into the loads of each group, in order of time. An interval of one end is
+/// matched with the interval of the other end whose start is nearest, within half its length, because the clocks of the
+/// two ends may differ.
 pub fn loads_by_group(intervals: &[Interval]) -> BTreeMap<Ends, Vec<GroupLoad>> {
     let holding = holding_stats(intervals);
     let mut sides: BTreeMap<(u32, u32), Vec<(&Interval, &measured::record::GroupFigures)>> = BTreeMap::new();
@@ -197,105 +210,108 @@
             sides.entry((interval.exchange, group.to)).or_default().push((interval, group));
         }
     }
-    sides.values_mut().for_each(|s| s.sort_by_key(|(i, _)| i.from));
+    sides.values_mut().for_each(|side| side.sort_by_key(|(interval, _)| interval.from));
     let mut found = BTreeMap::new();
     let ends: std::collections::BTreeSet<Ends> = sides.keys().map(|(a, b)| (*a.min(b), *a.max(b))).collect();
     for (a, b) in ends {
         let empty = Vec::new();
-        let (one, two) = (sides.get(&(a, b)).unwrap_or(&empty), sides.get(&(b, a)).unwrap_or(&empty));
-        let mut taken = vec![false; two.len()];
+        let (side_a, side_b) = (sides.get(&(a, b)).unwrap_or(&empty), sides.get(&(b, a)).unwrap_or(&empty));
+        let mut matched = vec![false; side_b.len()];
         let mut loads = Vec::new();
-        for side in one {
-            let half = (side.0.to - side.0.from) / 2;
-            let near = |j: &usize| !taken[*j] && (two[*j].0.from - side.0.from).abs() <= half;
-            let mate = (0..two.len()).filter(near).min_by_key(|j| (two[*j].0.from - side.0.from).abs());
-            if let Some(j) = mate {
-                taken[j] = true;
+        for side in side_a {
+            let half_length = (side.0.to - side.0.from) / 2;
+            let near = |j: &usize| !matched[*j] && (side_b[*j].0.from - side.0.from).abs() <= half_length;
+            let opposite =
+                (0..side_b.len()).filter(near).min_by_key(|j| (side_b[*j].0.from - side.0.from).abs());
+            if let Some(j) = opposite {
+                matched[j] = true;
             }
-            loads.push(group_load(side, mate.map(|j| &two[j]), &holding));
+            loads.push(group_load(side, opposite.map(|j| &side_b[j]), &holding));
         }
-        let alone = two.iter().zip(taken).filter(|(_, t)| !t);
-        loads.extend(alone.map(|(side, _)| group_load(side, None, &holding)));
+        let unmatched = side_b.iter().zip(matched).filter(|(_, matched)| !matched);
+        loads.extend(unmatched.map(|(side, _)| group_load(side, None, &holding)));
         loads.sort_by_key(|l| l.from);
         found.insert((a, b), loads);
     }
     found
 }
 
+/// One end's measurement of a group in one interval.
 type Side<'a> = (&'a Interval, &'a measured::record::GroupFigures);
 
 fn group_load(
     side: &Side<'_>,
-    mate: Option<&Side<'_>>,
+    opposite: Option<&Side<'_>>,
     holding: &BTreeMap<String, HoldingStats>,
 ) -> GroupLoad {
-    // The state of a shared group is told to both ends alike: the end that saw more of it is believed.
-    let seen = |s: &Side<'_>| s.1.observed;
-    let better = mate.filter(|m| seen(m) > seen(side)).unwrap_or(side);
+    // Both ends receive the same states of the shared group; the end that observed it for longer is used.
+    let observed_seconds = |s: &Side<'_>| s.1.observed;
+    let better = opposite.filter(|o| observed_seconds(o) > observed_seconds(side)).unwrap_or(side);
     let observed = better.1.observed.max(1e-9);
     let mut load = GroupLoad {
         from: side.0.from,
-        seconds: mate.map_or(0.0, |m| m.0.seconds()).max(side.0.seconds()),
+        seconds: opposite.map_or(0.0, |o| o.0.seconds()).max(side.0.seconds()),
         circuits: better.1.circuits,
         in_use: better.1.circuit_seconds / observed,
         full: (better.1.full / observed).min(1.0),
-        both_ends: mate.is_some(),
+        both_ends: opposite.is_some(),
         classes: BTreeMap::new(),
     };
-    let none = HoldingStats::default();
-    let hold = |class: &str| holding.get(class).unwrap_or(&none);
-    let mut own_use = 0.0;
-    for (interval, figures) in [Some(side), mate].into_iter().flatten() {
+    let unknown = HoldingStats::default();
+    let holding_of = |class: &str| holding.get(class).unwrap_or(&unknown);
+    let mut known_circuits = 0.0;
+    for (interval, figures) in [Some(side), opposite].into_iter().flatten() {
         let seconds = interval.seconds();
-        for c in &figures.classes {
-            let entry = load.classes.entry(c.class.clone()).or_default();
-            entry.width = c.width;
-            entry.fresh = entry.fresh.plus(load_from_arrivals(c.offered, seconds, hold(&c.class)));
-            // A call in transit takes two groups; on each it is in the file of one end only: of its own exchange
-            // on the first, of its tandem on the second.
-            let per_call = hold(&c.class).mean().unwrap_or(0.0) / seconds;
-            entry.transit += (c.transit_in_carried + c.transit_out) as f64 * per_call;
-            entry.calls += c.offered;
-            entry.redials += c.redials;
-            own_use += carried(c) as f64 * per_call * f64::from(c.width);
+        for class in &figures.classes {
+            let entry = load.classes.entry(class.class.clone()).or_default();
+            entry.width = class.width;
+            entry.fresh =
+                entry.fresh.plus(load_from_arrivals(class.offered, seconds, holding_of(&class.class)));
+            // A call in transit occupies two groups. On each it is counted by one end only: on the first by its own
+            // exchange, on the second by its tandem.
+            let load_per_call = holding_of(&class.class).mean().unwrap_or(0.0) / seconds;
+            entry.transit += (class.transit_in_carried + class.transit_out) as f64 * load_per_call;
+            entry.calls += class.offered;
+            entry.redials += class.redials;
+            known_circuits += carried_calls(class) as f64 * load_per_call * f64::from(class.width);
         }
     }
-    if mate.is_none() {
-        other_side(&mut load, own_use, holding);
+    if opposite.is_none() {
+        add_other_end(&mut load, known_circuits, holding);
     }
     load
 }
 
-fn carried(c: &ClassFigures) -> u64 {
-    c.carried + c.transit_in_carried + c.transit_out
+fn carried_calls(class: &ClassFigures) -> u64 {
+    class.carried + class.transit_in_carried + class.transit_out
 }
 
-/// Adds what the end whose files are missing offered, as far as the circuits in use show it, shared over the classes
-/// as the known end's calls are.
-fn other_side(load: &mut GroupLoad, own_use: f64, holding: &BTreeMap<String, HoldingStats>) {
-    let rest = (load.in_use - own_use).max(0.0);
+/// Adds the load of the end whose files are missing, estimated from the circuits in use, and divides it over the
+/// classes in proportion to the known end's load.
+fn add_other_end(load: &mut GroupLoad, known_circuits: f64, holding: &BTreeMap<String, HoldingStats>) {
+    let carried_by_other = (load.in_use - known_circuits).max(0.0);
     let known: f64 = load.classes.values().map(|c| c.fresh.mean * f64::from(c.width)).sum();
-    if rest <= 0.0 || load.circuits <= 0.0 {
+    if carried_by_other <= 0.0 || load.circuits <= 0.0 {
         return;
     }
     let means: Vec<f64> = holding.values().filter_map(HoldingStats::mean).collect();
     let mean_hold = means.iter().sum::<f64>() / means.len().max(1) as f64;
-    // The whole group's load from its use, less the side that is known.
-    let all = load_from_usage(load.in_use, load.circuits, mean_hold, load.seconds);
+    // The load of the whole group, estimated from the circuits in use, less the load of the known end.
+    let total = load_from_usage(load.in_use, load.circuits, mean_hold, load.seconds);
     let other = LoadEstimate {
-        mean: (all.mean - known).max(rest.min(all.mean)),
-        low: (rest - (all.mean - all.low)).max(0.0),
-        high: (all.high - known).max(rest),
+        mean: (total.mean - known).max(carried_by_other.min(total.mean)),
+        low: (carried_by_other - (total.mean - total.low)).max(0.0),
+        high: (total.high - known).max(carried_by_other),
     };
     let count = load.classes.len().max(1) as f64;
     for class in load.classes.values_mut() {
         let width = f64::from(class.width.max(1));
         let share = if known > 0.0 { class.fresh.mean * width / known } else { 1.0 / count };
-        let part = |v: f64| if share > 0.0 { v * share / width } else { 0.0 };
+        let class_share = |v: f64| if share > 0.0 { v * share / width } else { 0.0 };
         class.fresh = class.fresh.plus(LoadEstimate {
-            mean: part(other.mean),
-            low: part(other.low),
-            high: part(other.high),
+            mean: class_share(other.mean),
+            low: class_share(other.low),
+            high: class_share(other.high),
         });
     }
 }
