--- a/trunks/src/network.rs
+++ b/trunks/src/network.rs
@@ -52,15 +52,24 @@
     pub demands: Vec<Demand>,
 }
 
+/// Values of one group for its direct calls and for alternative calls, which use it as part of a tandem route.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ByRoute {
+    /// Value for direct calls.
+    pub direct: f64,
+    /// Value for alternative calls.
+    pub alternative: f64,
+}
+
 /// A fixed point of the network.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Solution {
     /// Lost share of the calls, by demand.
     pub loss: Vec<f64>,
     /// Rejected shares of direct calls and of alternative calls, by group.
-    pub blocked: Vec<(f64, f64)>,
+    pub blocked: Vec<ByRoute>,
     /// Loads offered by direct calls and by alternative calls in erlang, by group.
-    pub offered: Vec<(f64, f64)>,
+    pub offered: Vec<ByRoute>,
     /// Lost share of all calls.
     pub total_loss: f64,
     /// Share of all calls carried over tandems.
@@ -90,10 +99,10 @@
 /// Losses of direct and of alternative calls on a group, as a birth-death process. The group is offered `direct`
 /// erlang, and `alternative` erlang while more circuits are free than it reserves. Direct calls are lost when all
 /// circuits are busy, alternative calls when at most the reserve is free.
-pub fn group_loss(direct: f64, alternative: f64, circuits: u32, reserve: u32) -> (f64, f64) {
+pub fn group_loss(direct: f64, alternative: f64, circuits: u32, reserve: u32) -> ByRoute {
     let (size, unreserved) = (circuits as usize, circuits.saturating_sub(reserve) as usize);
     if size == 0 {
-        return (1.0, 1.0);
+        return ByRoute { direct: 1.0, alternative: 1.0 };
     }
     // State probabilities relative to the empty group, each computed from its neighbour. All sums are scaled down
     // together before they overflow.
@@ -109,7 +118,7 @@
             (p, total, reserved) = (p * 1e-250, total * 1e-250, reserved * 1e-250);
         }
     }
-    (p / total, reserved / total)
+    ByRoute { direct: p / total, alternative: reserved / total }
 }
 
 /// The groups that each demand uses, as indices into [`Network::groups`].
@@ -171,7 +180,8 @@
     }
 
     fn iterate_damped(&self, plan: &RoutePlan, initial_loss: f64, damping: f64) -> Solution {
-        let mut blocked = vec![(initial_loss, initial_loss); self.groups.len()];
+        let mut blocked =
+            vec![ByRoute { direct: initial_loss, alternative: initial_loss }; self.groups.len()];
         let (mut iterations, mut converged) = (0, false);
         let mut offered = Vec::new();
         while iterations < MAX_ITERATIONS && !converged {
@@ -179,10 +189,16 @@
             offered = self.offered_loads(plan, &blocked);
             let mut max_change: f64 = 0.0;
             for ((group, load), old) in self.groups.iter().zip(&offered).zip(&mut blocked) {
-                let new = group_loss(load.0, load.1, group.circuits, group.reserve);
-                let change = (new.0 - old.0, new.1 - old.1);
-                max_change = max_change.max(change.0.abs()).max(change.1.abs());
-                *old = (old.0 + damping * change.0, old.1 + damping * change.1);
+                let new = group_loss(load.direct, load.alternative, group.circuits, group.reserve);
+                let change = ByRoute {
+                    direct: new.direct - old.direct,
+                    alternative: new.alternative - old.alternative,
+                };
+                max_change = max_change.max(change.direct.abs()).max(change.alternative.abs());
+                *old = ByRoute {
+                    direct: old.direct + damping * change.direct,
+                    alternative: old.alternative + damping * change.alternative,
+                };
             }
             converged = max_change < CONVERGENCE_TOLERANCE;
         }
@@ -190,25 +206,26 @@
     }
 
     /// The loads offered to each group, given the shares that the groups reject.
-    fn offered_loads(&self, plan: &RoutePlan, blocked: &[(f64, f64)]) -> Vec<(f64, f64)> {
-        let mut offered = vec![(0.0, 0.0); self.groups.len()];
+    fn offered_loads(&self, plan: &RoutePlan, blocked: &[ByRoute]) -> Vec<ByRoute> {
+        let mut offered = vec![ByRoute::default(); self.groups.len()];
         for ((demand, direct), tandem_routes) in
             self.demands.iter().zip(&plan.direct).zip(&plan.tandem_routes)
         {
             let mut remaining = demand.load;
             if let Some(group) = direct {
-                offered[*group].0 += remaining;
-                remaining *= blocked[*group].0;
+                offered[*group].direct += remaining;
+                remaining *= blocked[*group].direct;
             }
             for (first, second) in tandem_routes {
                 if remaining <= 0.0 {
                     break;
                 }
                 // Each group of the route is offered only the calls that the other group accepts.
-                let accepted = (1.0 - blocked[*first].1, 1.0 - blocked[*second].1);
-                offered[*first].1 += remaining * accepted.1;
-                offered[*second].1 += remaining * accepted.0;
-                remaining *= 1.0 - accepted.0 * accepted.1;
+                let accepted_by_first = 1.0 - blocked[*first].alternative;
+                let accepted_by_second = 1.0 - blocked[*second].alternative;
+                offered[*first].alternative += remaining * accepted_by_second;
+                offered[*second].alternative += remaining * accepted_by_first;
+                remaining *= 1.0 - accepted_by_first * accepted_by_second;
             }
         }
         offered
@@ -217,16 +234,18 @@
     fn solution(
         &self,
         plan: &RoutePlan,
-        blocked: Vec<(f64, f64)>,
-        offered: Vec<(f64, f64)>,
+        blocked: Vec<ByRoute>,
+        offered: Vec<ByRoute>,
         iterations: usize,
         converged: bool,
     ) -> Solution {
         let (mut lost, mut by_tandem, mut total) = (0.0, 0.0, 0.0);
         let losses = self.demands.iter().zip(&plan.direct).zip(&plan.tandem_routes).map(
             |((demand, direct), tandem_routes)| {
-                let after_direct = direct.map_or(1.0, |g| blocked[g].0);
-                let accepted = |(a, b): &(usize, usize)| (1.0 - blocked[*a].1) * (1.0 - blocked[*b].1);
+                let after_direct = direct.map_or(1.0, |g| blocked[g].direct);
+                let accepted = |(a, b): &(usize, usize)| {
+                    (1.0 - blocked[*a].alternative) * (1.0 - blocked[*b].alternative)
+                };
                 let loss = tandem_routes
                     .iter()
                     .fold(after_direct, |remaining, route| remaining * (1.0 - accepted(route)));
--- a/trunks/src/offered.rs
+++ b/trunks/src/offered.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use measured::record::{ClassFigures, Interval};
+use measured::record::{ClassFigures, GroupFigures, Interval};
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ChiSquared, ContinuousCDF};
 
@@ -204,13 +204,13 @@
 /// two ends may differ.
 pub fn loads_by_group(intervals: &[Interval]) -> BTreeMap<Ends, Vec<GroupLoad>> {
     let holding = holding_stats(intervals);
-    let mut sides: BTreeMap<(u32, u32), Vec<(&Interval, &measured::record::GroupFigures)>> = BTreeMap::new();
+    let mut sides: BTreeMap<(u32, u32), Vec<Side<'_>>> = BTreeMap::new();
     for interval in intervals.iter().filter(|i| i.seconds() > 0.0) {
         for group in &interval.groups {
-            sides.entry((interval.exchange, group.to)).or_default().push((interval, group));
+            sides.entry((interval.exchange, group.to)).or_default().push(Side { interval, figures: group });
         }
     }
-    sides.values_mut().for_each(|side| side.sort_by_key(|(interval, _)| interval.from));
+    sides.values_mut().for_each(|side| side.sort_by_key(|s| s.interval.from));
     let mut found = BTreeMap::new();
     let ends: std::collections::BTreeSet<Ends> = sides.keys().map(|(a, b)| (*a.min(b), *a.max(b))).collect();
     for (a, b) in ends {
@@ -219,10 +219,13 @@
         let mut matched = vec![false; side_b.len()];
         let mut loads = Vec::new();
         for side in side_a {
-            let half_length = (side.0.to - side.0.from) / 2;
-            let near = |j: &usize| !matched[*j] && (side_b[*j].0.from - side.0.from).abs() <= half_length;
-            let opposite =
-                (0..side_b.len()).filter(near).min_by_key(|j| (side_b[*j].0.from - side.0.from).abs());
+            let half_length = (side.interval.to - side.interval.from) / 2;
+            let near = |j: &usize| {
+                !matched[*j] && (side_b[*j].interval.from - side.interval.from).abs() <= half_length
+            };
+            let opposite = (0..side_b.len())
+                .filter(near)
+                .min_by_key(|j| (side_b[*j].interval.from - side.interval.from).abs());
             if let Some(j) = opposite {
                 matched[j] = true;
             }
@@ -237,7 +240,11 @@
 }
 
 /// One end's measurement of a group in one interval.
-type Side<'a> = (&'a Interval, &'a measured::record::GroupFigures);
+#[derive(Clone, Copy)]
+struct Side<'a> {
+    interval: &'a Interval,
+    figures: &'a GroupFigures,
+}
 
 fn group_load(
     side: &Side<'_>,
@@ -245,22 +252,22 @@
     holding: &BTreeMap<String, HoldingStats>,
 ) -> GroupLoad {
     // Both ends receive the same states of the shared group; the end that observed it for longer is used.
-    let observed_seconds = |s: &Side<'_>| s.1.observed;
+    let observed_seconds = |s: &Side<'_>| s.figures.observed;
     let better = opposite.filter(|o| observed_seconds(o) > observed_seconds(side)).unwrap_or(side);
-    let observed = better.1.observed.max(1e-9);
+    let observed = better.figures.observed.max(1e-9);
     let mut load = GroupLoad {
-        from: side.0.from,
-        seconds: opposite.map_or(0.0, |o| o.0.seconds()).max(side.0.seconds()),
-        circuits: better.1.circuits,
-        in_use: better.1.circuit_seconds / observed,
-        full: (better.1.full / observed).min(1.0),
+        from: side.interval.from,
+        seconds: opposite.map_or(0.0, |o| o.interval.seconds()).max(side.interval.seconds()),
+        circuits: better.figures.circuits,
+        in_use: better.figures.circuit_seconds / observed,
+        full: (better.figures.full / observed).min(1.0),
         both_ends: opposite.is_some(),
         classes: BTreeMap::new(),
     };
     let unknown = HoldingStats::default();
     let holding_of = |class: &str| holding.get(class).unwrap_or(&unknown);
     let mut known_circuits = 0.0;
-    for (interval, figures) in [Some(side), opposite].into_iter().flatten() {
+    for Side { interval, figures } in [Some(side), opposite].into_iter().flatten() {
         let seconds = interval.seconds();
         for class in &figures.classes {
             let entry = load.classes.entry(class.class.clone()).or_default();
--- a/trunks/tests/networks.rs
+++ b/trunks/tests/networks.rs
@@ -1,7 +1,7 @@
 //! Fixed points of networks with tandem alternatives.
 
 use trunks::erlang;
-use trunks::network::{group_loss, Demand, Group, Network};
+use trunks::network::{group_loss, ByRoute, Demand, Group, Network};
 use trunks::InvalidInput;
 
 /// A full mesh in which all groups have the same size and load.
@@ -21,16 +21,16 @@
 
 #[test]
 fn group_loss_with_reserve_follows_birth_death_process() {
-    let (direct, alternative) = group_loss(12.0, 0.0, 15, 4);
+    let ByRoute { direct, alternative } = group_loss(12.0, 0.0, 15, 4);
     assert!((direct / erlang::loss(12.0, 15.0).unwrap() - 1.0).abs() < 1e-12 && alternative > direct);
-    let (direct, alternative) = group_loss(6.0, 6.0, 15, 0);
+    let ByRoute { direct, alternative } = group_loss(6.0, 6.0, 15, 0);
     assert!((direct / erlang::loss(12.0, 15.0).unwrap() - 1.0).abs() < 1e-12 && direct == alternative);
     // Two circuits, one reserved, loads 1 and 1: the states have weights 1, 2 and 1, and alternative calls are lost
     // with 1 or 2 circuits in use.
-    let (direct, alternative) = group_loss(1.0, 1.0, 2, 1);
+    let ByRoute { direct, alternative } = group_loss(1.0, 1.0, 2, 1);
     assert!((direct - 0.25).abs() < 1e-15 && (alternative - 0.75).abs() < 1e-15);
-    assert_eq!(group_loss(5.0, 5.0, 0, 0), (1.0, 1.0));
-    let (direct, _) = group_loss(9_000.0, 0.0, 9_100, 3);
+    assert_eq!(group_loss(5.0, 5.0, 0, 0), ByRoute { direct: 1.0, alternative: 1.0 });
+    let ByRoute { direct, .. } = group_loss(9_000.0, 0.0, 9_100, 3);
     assert!((direct / erlang::loss(9_000.0, 9_100.0).unwrap() - 1.0).abs() < 1e-9, "no overflow: {direct}");
 }
 
