--- a/dillhold/src/engine/callers.rs
+++ b/dillhold/src/engine/callers.rs
@@ -63,10 +63,10 @@
     }
 
     /// Closes the least useful connection: the oldest without a confirmed caller, otherwise the longest quiet one. A
-    /// connection with a call or with unsent bytes is kept: closing it would lose the caller's answer, and its
+    /// connection with a call or with unsent bytes is kept: closing it would lose a final answer, and its
     /// releases would go to other callers.
     fn evict_caller(&mut self) -> bool {
-        // Answers of this turn are queued first, as a connection may look idle while its answer is pending.
+        // Final answers of this turn are queued first: without them, a connection may look idle.
         self.run_commands();
         let can_close =
             |conn_id: &u64| !self.calls.has_calls(*conn_id) && self.pending_bytes(*conn_id).is_empty();
@@ -85,7 +85,7 @@
 
     /// Checks a caller's connection and closes it on a timeout.
     pub(super) fn check_caller(&mut self, conn_id: ConnId) {
-        // An answer produced in this turn counts as an answer.
+        // A notification queued in this turn counts as sent.
         self.run_commands();
         let Some(conn) = self.conns.get(&conn_id) else { return };
         let Peer::Caller(caller) = &conn.peer else { return };
--- a/dillhold/src/engine/close_reason.rs
+++ b/dillhold/src/engine/close_reason.rs
@@ -7,15 +7,15 @@
     MakeRoom,
     /// A caller's message stayed incomplete.
     CallerMessageIncomplete,
-    /// Nothing was sent to the caller, and no set-up is open on its connection.
+    /// Nothing was sent to the caller since it connected, and no set-up is open on its connection.
     CallerUnanswered,
     /// The caller's connection has no call and no recent message.
     CallerIdle,
-    /// The buffers of all connections use too much memory, and those of this one more than their share.
+    /// The buffers of all connections exceed the memory bound, and those of this one their share of it.
     OutOfMemory,
     /// Too many bytes are waiting to be written.
     SlowReader,
-    /// The exchange sent nothing after a set-up.
+    /// The exchange sent nothing within the reply timeout after a set-up.
     ExchangeSilent,
     /// The connection has had no input for too long, although calls stand at the exchange.
     ExchangeQuiet,
@@ -29,7 +29,8 @@
     Unreadable,
     /// The process is shutting down, and the connection is unused.
     Leaving,
-    /// The peer has closed its writing side or sent unreadable input, and nothing is left to be written to it.
+    /// The caller has closed its writing side, no set-up is open on the connection and nothing is left to write; or its
+    /// input is unreadable, and the connection was flushed once more.
     Finished,
 }
 
--- a/dillhold/src/engine/discovery.rs
+++ b/dillhold/src/engine/discovery.rs
@@ -2,8 +2,8 @@
 //! request is outstanding at a time.
 //!
 //! - *awaiting answer*: a request is outstanding;
-//! - *idle*: an answer has come, and the next request is sent at once or, if the answer came early and empty, after a
-//!   delay;
+//! - *idle*: an answer has come, and the next request is sent at once or, if the answer was early and empty or had
+//!   events missing, after a delay;
 //! - *backing off*: a request has failed, and is retried after a delay that grows if it fails again.
 
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 use crate::clock::MS;
 use crate::session::journal::LONG_POLL_MS;
 
-/// Delay of the next request after an answer that came too early, or after a first failure.
+/// Delay of the next request after an answer that was early and empty or had events missing, or after a first failure.
 const FIRST_RETRY_DELAY: Nanos = 200 * MS;
 /// Delay after repeated failures, to send a service that is down or overloaded fewer requests.
 const REPEATED_RETRY_DELAY: Nanos = 400 * MS;
 /// How long the service is asked to hold a request when it has no event.
 const REQUESTED_WAIT: Nanos = LONG_POLL_MS * MS;
-/// How long after [`REQUESTED_WAIT`] an answer times out. Events of a silent service count as delivered 2 s after the
-/// end of the wait; 0.6 s of that are left for a retry. A shorter timeout would send a slow service more requests and
+/// How long after [`REQUESTED_WAIT`] an answer times out. Events of a silent service count as known 2 s after the end
+/// of the wait; 0.6 s of that are left for a retry. A shorter timeout would send a slow service more requests and
 /// get no answer to any of them.
 const ANSWER_TIMEOUT_MARGIN: Nanos = 1_400 * MS;
 
@@ -38,10 +38,10 @@
 }
 
 impl Failure {
-    /// The time after which a change counts as delivered, whatever becomes of later requests. In general that is 6 s
-    /// after a failed, refused or abandoned request, counted from when the service had the change and could be
-    /// reached. Specific rules set it earlier: 2 s after a broken connection, 2 s after the end of the wait of a
-    /// silent request, and 4 s after a new configuration.
+    /// For logs and tests: the time after which a journal update counts as known to the controller, whatever becomes
+    /// of later requests. In general that is 6 s after a failed, refused or abandoned request, counted from when the
+    /// service had the update and could be reached. It is less in three cases: 2 s after a broken connection, 2 s
+    /// after the end of the wait of a request without an answer, and 4 s after a new configuration.
     pub fn counts_as_delivered_after(self) -> Nanos {
         match self {
             Failure::NotConnected => 6_000 * MS,
@@ -79,8 +79,8 @@
         self.address
     }
 
-    /// Whether a request is outstanding. A second one would never go away, as each answer is followed by the next
-    /// request.
+    /// Whether a request is outstanding. Each answer triggers the next request, so a second one would be repeated
+    /// forever beside the first.
     pub fn is_awaiting_answer(&self) -> bool {
         matches!(self.state, State::AwaitingAnswer { .. })
     }
--- a/dillhold/src/engine/exchanges.rs
+++ b/dillhold/src/engine/exchanges.rs
@@ -23,7 +23,8 @@
 
 /// How long after a set-up the first reply of any kind may take. An exchange reports the state of its group at once,
 /// even while its processor answers nothing, so a connection that stays silent is dead although it looks open. The
-/// timeout doubles for each new connection that stays silent too, as the cause is then the exchange.
+/// timeout doubles for each new connection that stays silent too, because then the exchange, not the connection, is
+/// slow.
 const REPLY_TIMEOUT: Nanos = 200 * MS;
 const MAX_REPLY_TIMEOUT_DOUBLINGS: u32 = 4;
 
--- a/dillhold/src/engine/failure_detector.rs
+++ b/dillhold/src/engine/failure_detector.rs
@@ -1,8 +1,8 @@
-//! Detects exchanges that have vanished, independently of discovery.
+//! Detects exchanges that have vanished, independently of the journal.
 //!
 //! A machine that vanishes or is cut off sends nothing: its open connections stay open and silent, and new ones are
-//! never established. The calls standing on it are over, but nothing reports their end. An exchange is therefore
-//! watched while calls stand on it. After a silence it is checked repeatedly over a separate connection; when no sign
+//! never established. Its calls have ended, but nothing reports that. An exchange is therefore monitored while
+//! calls stand on it. After a silence it is checked repeatedly over a separate connection; when no sign
 //! of life follows within [`DEAD_AFTER`], the exchange is declared dead.
 
 use pitchgw::interface::Nanos;
--- a/dillhold/src/engine/journal.rs
+++ b/dillhold/src/engine/journal.rs
@@ -78,7 +78,7 @@
     }
 
     /// Handles the timeout of a request. A connection that stays open and silent is closed, so that the events are
-    /// requested again before they count as delivered.
+    /// requested again before they count as known.
     pub(super) fn handle_journal_timeout(&mut self, conn_id: ConnId) {
         if self.journal_client.discovery.is_overdue(self.now) && self.journal_client.conn == Some(conn_id) {
             self.close(conn_id, CloseReason::JournalSilent);
--- a/dillhold/src/engine/leave.rs
+++ b/dillhold/src/engine/leave.rs
@@ -1,5 +1,5 @@
-//! Carries out the shutdown planned by [`super::shutdown`]: answers open set-ups, lets standing calls end, and closes
-//! unused connections.
+//! Carries out the shutdown planned by [`super::shutdown`]: gives open set-ups their final answers, lets standing calls
+//! end, and closes unused connections.
 
 use pitchgw::interface::Nanos;
 
@@ -48,7 +48,7 @@
         if self.shutdown.phase() != Phase::Leaving {
             return;
         }
-        // Answers of this turn are queued first, as a connection may look unused while its answer is pending.
+        // Final answers of this turn are queued first: without them, a connection may look unused.
         self.run_commands();
         let unused: Vec<ConnId> =
             self.conns.keys().copied().filter(|conn_id| self.is_unused(*conn_id)).collect();
@@ -69,7 +69,7 @@
         quiet && buffers_empty && !conn.write_closed && !self.calls.has_calls(conn_id)
     }
 
-    /// Whether the last used connection is closed.
+    /// Whether no set-up is open, no caller's connection is in use and nothing is left to write to callers.
     pub(super) fn has_finished_leaving(&self) -> bool {
         let in_use = |conn: &super::Conn| matches!(conn.peer, Peer::Caller(_)) && !conn.write_closed;
         self.shutdown.phase() == Phase::Leaving
--- a/dillhold/src/engine/liveness.rs
+++ b/dillhold/src/engine/liveness.rs
@@ -130,8 +130,8 @@
         check.session.process_input(self.now, id, &mut self.calls).is_ok()
     }
 
-    /// Replaces the silent connection to an exchange that is alive. Not while attempts are out, and not if the
-    /// exchange sends no greeting: such an exchange may be idle, and its checks go on for as long as it is.
+    /// Replaces a connection without recent input to an exchange that is alive. Not while attempts are pending, and not
+    /// if the exchange sends no greeting: such an exchange may be idle, and its checks go on for as long as it is.
     fn replace_silent_connection(&mut self, id: ExchangeId) {
         let Some(link) = self.links.get(&id) else { return };
         let Some(conn) = link.conn.filter(|conn| self.is_connected(*conn)) else { return };
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Compares the calls standing since before an exchange became reachable with the circuits that its first report
-    /// gave as in use, which must include theirs.
+    /// If the calls that stood before an exchange became reachable again need more circuits than its first report shows
+    /// in use, the exchange has lost them, and they end.
     pub(super) fn compare_calls_with_circuits(&mut self, id: ExchangeId, since: Nanos) {
         if !self.links.contains_key(&id) {
             return;
--- a/dillhold/src/engine/mod.rs
+++ b/dillhold/src/engine/mod.rs
@@ -2,8 +2,9 @@
 //!
 //! [`Engine`] is given the time and connection events, and returns socket operations as [`Output`]s; connections
 //! are identified by [`ConnId`]. All connection policy is here: admission and eviction of callers, timeouts for
-//! silence and incomplete messages, reconnects to exchanges, requests to the journal, how far an attempt had
-//! progressed when its connection failed, closing connections when memory is short, and the shutdown sequence.
+//! missing replies, quiet connections and incomplete messages, reconnects to exchanges, requests to the journal, how
+//! far an attempt had progressed when its connection failed, closing connections when memory is short, and the
+//! shutdown sequence.
 //! Bytes are read directly into the sessions' buffers ([`Engine::read_buffer`], [`Engine::bytes_read`]) and written
 //! directly from them ([`Engine::pending_bytes`], [`Engine::bytes_written`]).
 //!
@@ -108,7 +109,8 @@
     connecting: bool,
     /// The peer has closed its writing side.
     read_closed: bool,
-    /// The input cannot be parsed any further: the connection is closed once pending answers are written.
+    /// The caller's input cannot be parsed any further: the connection is closed after the next flush. What the socket
+    /// does not accept then is lost, and open set-ups end as if the caller had disconnected.
     unreadable: bool,
     /// Our writing side is closed; further input is discarded.
     write_closed: bool,
@@ -181,8 +183,8 @@
         self.calls.deadlines.earliest()
     }
 
-    /// Handles the deadlines that have passed. Input must be reported before: after this process was suspended, an
-    /// answer that has arrived takes precedence over its expired timeout.
+    /// Handles the deadlines that have passed. Input must be reported before: after this process was suspended, a
+    /// reply that has arrived takes precedence over its expired timeout.
     pub fn handle_deadlines(&mut self) {
         for deadline in self.calls.deadlines.take_expired(self.now) {
             match deadline {
@@ -384,15 +386,15 @@
             }
         }
         self.needs_flush.insert(conn_id);
-        // A panic only closes the connection whose input caused it. A caller's pending answers are written first;
-        // nothing more is sent to an exchange whose messages cannot be parsed.
+        // A panic only closes the connection whose input caused it. A caller's connection is flushed once more before
+        // that; nothing more is sent to an exchange whose messages cannot be parsed.
         if catch_unwind(AssertUnwindSafe(|| self.process_input(conn_id))).unwrap_or(false) {
             return;
         }
         match self.conns.get_mut(&conn_id) {
             Some(conn) if matches!(conn.peer, Peer::Caller(_)) => {
                 conn.unreadable = true;
-                tracing::info!(conn = conn_id, "unreadable input from caller: closing once it is answered");
+                tracing::info!(conn = conn_id, "unreadable input from caller: closing after the next flush");
                 self.calls.counters.increment("errors unreadable");
             }
             _ => self.close(conn_id, CloseReason::Unreadable),
@@ -420,8 +422,8 @@
         }
     }
 
-    /// Reports that the peer has closed its writing side. A caller may still read its answers, including those that
-    /// this turn produces from its earlier input.
+    /// Reports that the peer has closed its writing side. A caller may still read its final answers, including
+    /// those that this turn produces from its earlier input.
     pub fn read_closed(&mut self, conn_id: ConnId) {
         match self.conns.get_mut(&conn_id) {
             Some(conn) if matches!(conn.peer, Peer::Caller(_)) && !conn.write_closed => {
--- a/dillhold/src/engine/shutdown.rs
+++ b/dillhold/src/engine/shutdown.rs
@@ -1,10 +1,10 @@
 //! The phases and deadlines of a shutdown.
 //!
 //! SIGKILL may come as early as 0.7 s plus the longest deadline of the classes (counted as 3 s at most) after the
-//! shutdown signal, and callers go on sending on open connections until then. Every set-up accepted has to be
-//! answered earlier:
+//! shutdown signal, and callers go on sending on open connections until then. Every set-up accepted needs
+//! its final answer earlier:
 //!
-//! - *grace period*: callers are still accepted and served, but no answer is later than [`Plan::answer_by`];
+//! - *grace period*: callers are still accepted and served, but no final answer is later than [`Plan::answer_by`];
 //! - *leaving*: no connection is accepted, and new set-ups are refused at once. A connection is kept for its standing
 //!   calls, so that their releases can be sent, and is closed when it is unused;
 //! - *stopped*: no connection is left, or the time is up.
--- a/dillhold/src/net/mod.rs
+++ b/dillhold/src/net/mod.rs
@@ -33,7 +33,7 @@
 /// The longest interval between turns that the tick of the settings can cause.
 const MAX_TICK: Nanos = 10 * MS;
 /// Connections that wait to be accepted, subject to the system's own limit. Above it the system drops connections,
-/// and a caller retries a second later, when its call is too late.
+/// and a caller's system repeats the connect a second later, when its call is too late.
 const LISTEN_BACKLOG: i32 = 4096;
 /// How long to wait at the start for the listen address, which a terminating predecessor may still use; a restart may
 /// take that long.
--- a/dillhold/tests/engine.rs
+++ b/dillhold/tests/engine.rs
@@ -527,7 +527,7 @@
 }
 
 /// Guards against taking an exchange that lost its calls while unreachable, and keeps its address and id, for one
-/// that was only cut off; the calls would stand until discovery reports its start.
+/// that was only cut off; the calls would stand until the journal reports its start.
 #[test]
 fn releases_calls_only_if_returning_exchange_has_lost_them() {
     // Free circuits of nine, whether a connect fails before, and when the nine calls are released, if they are.
--- a/dillhold/tests/program.rs
+++ b/dillhold/tests/program.rs
@@ -203,7 +203,7 @@
     assert_eq!(caller.read_binary(), (ANSWER, 23, 0, b"v".to_vec()));
 }
 
-/// While discovery is down nothing else reports that a machine has vanished, and callers would keep ended calls.
+/// While the journal is silent nothing else reports that a machine has vanished, and callers would keep ended calls.
 #[test]
 fn releases_calls_of_vanished_exchange_while_discovery_is_silent() {
     let (_program, mut caller, mut vanished, _other, listeners) = start_with_peers("vanishes");
