--- a/dillhold/src/call/messages.rs
+++ b/dillhold/src/call/messages.rs
@@ -187,7 +187,7 @@
     /// Close this connection of an exchange if a message on it is still incomplete.
     IncompleteMessage(ExchangeId, u64),
     /// Close this connection of an exchange if nothing was received since a set-up was sent on it.
-    SilenceTimeout(ExchangeId, u64),
+    ReplyTimeout(ExchangeId, u64),
     /// Connect to an exchange again.
     Reconnect(ExchangeId),
     /// Check the liveness of an exchange on which calls stand.
@@ -212,7 +212,7 @@
     /// Shutdown: close unused connections from callers.
     CloseUnused,
     /// Close a connection whose writing side has been shut down.
-    FinishTimeout(u64),
+    WriteShutdownTimeout(u64),
     /// Shutdown: exit although set-ups or calls are left.
     ForcedExit,
 }
--- a/dillhold/src/engine/callers.rs
+++ b/dillhold/src/engine/callers.rs
@@ -11,8 +11,8 @@
 /// A connection on which nothing was sent within this time is closed unless a set-up is open on it. A client that
 /// sends nothing, or nothing that can be answered, must get an answer or a close within 3 s.
 const UNANSWERED_TIMEOUT: Nanos = 2_500 * MS;
-/// How long a message may stay incomplete.
-const INCOMPLETE_MESSAGE_TIMEOUT: Nanos = 2_500 * MS;
+/// How long a caller's message may stay incomplete.
+const INCOMPLETE_CALLER_MESSAGE_TIMEOUT: Nanos = 2_500 * MS;
 /// A connection without open or standing calls is closed after this time. Callers close such connections after 4 s
 /// themselves; without the timeout, those that never do would use up all file descriptors.
 const IDLE_TIMEOUT: Nanos = 5_000 * MS;
@@ -20,7 +20,7 @@
 /// way to send the release of a call that this process does not know.
 const MIN_IDLE_CONNECTIONS: usize = 8;
 /// Interval between checks of a connection.
-const CHECK_INTERVAL: Nanos = 500 * MS;
+const CALLER_CHECK_INTERVAL: Nanos = 500 * MS;
 /// How long a release waits for a connection with a confirmed caller. It must reach the caller within a second.
 const CONFIRMED_CALLER_WAIT: Nanos = 400 * MS;
 
@@ -91,7 +91,7 @@
         let Peer::Caller(caller) = &conn.peer else { return };
         let elapsed_since = |at: Nanos| self.now.saturating_sub(at);
         let incomplete = !caller.read_buffer.unread().is_empty()
-            && elapsed_since(conn.last_read_at) >= INCOMPLETE_MESSAGE_TIMEOUT;
+            && elapsed_since(conn.last_read_at) >= INCOMPLETE_CALLER_MESSAGE_TIMEOUT;
         let unanswered = !caller.notified && !self.calls.has_open_set_ups(conn_id);
         let quiet = elapsed_since(caller.last_message_at.max(conn.opened_at)) >= IDLE_TIMEOUT;
         let idle = quiet && !self.calls.has_calls(conn_id) && self.callers.count > MIN_IDLE_CONNECTIONS;
@@ -106,7 +106,7 @@
         }
         self.calls
             .deadlines
-            .add(self.now + CHECK_INTERVAL, Deadline::Engine(EngineDeadline::CallerCheck(conn_id)));
+            .add(self.now + CALLER_CHECK_INTERVAL, Deadline::Engine(EngineDeadline::CallerCheck(conn_id)));
     }
 
     pub(super) fn notify_caller(
--- a/dillhold/src/engine/discovery.rs
+++ b/dillhold/src/engine/discovery.rs
@@ -42,7 +42,7 @@
     /// of later requests. In general that is 6 s after a failed, refused or abandoned request, counted from when the
     /// service had the update and could be reached. It is less in three cases: 2 s after a broken connection, 2 s
     /// after the end of the wait of a request without an answer, and 4 s after a new configuration.
-    pub fn counts_as_delivered_after(self) -> Nanos {
+    pub fn counts_as_known_after(self) -> Nanos {
         match self {
             Failure::NotConnected => 6_000 * MS,
             Failure::BrokenOff => 2_000 * MS,
@@ -61,17 +61,17 @@
 
 /// The state of the requests to the journal service.
 #[derive(Debug)]
-pub struct Discovery {
+pub struct JournalPoll {
     address: SocketAddr,
     state: State,
     /// Consecutive failed requests.
     failures: u32,
 }
 
-impl Discovery {
+impl JournalPoll {
     /// The state before the first request.
-    pub fn new(address: SocketAddr) -> Discovery {
-        Discovery { address, state: State::Idle, failures: 0 }
+    pub fn new(address: SocketAddr) -> JournalPoll {
+        JournalPoll { address, state: State::Idle, failures: 0 }
     }
 
     /// The address of the service.
@@ -108,7 +108,7 @@
     pub fn request_failed(&mut self, failure: Failure) -> Nanos {
         self.state = State::BackingOff;
         self.failures += 1;
-        let told_after_ms = failure.counts_as_delivered_after() / MS;
+        let told_after_ms = failure.counts_as_known_after() / MS;
         tracing::warn!(?failure, failures = self.failures, told_after_ms, "journal request failed");
         if self.failures == 1 {
             FIRST_RETRY_DELAY
@@ -124,9 +124,9 @@
 
     /// Changes the address of the service, which may be sent a request at once.
     pub fn set_address(&mut self, address: SocketAddr) {
-        let told_after_ms = Failure::Moved.counts_as_delivered_after() / MS;
+        let told_after_ms = Failure::Moved.counts_as_known_after() / MS;
         tracing::info!(%address, told_after_ms, "journal address changed");
-        *self = Discovery::new(address);
+        *self = JournalPoll::new(address);
     }
 }
 
@@ -134,51 +134,47 @@
 mod tests {
     use super::*;
 
-    fn discovery() -> Discovery {
-        Discovery::new("127.0.0.1:9".parse().unwrap())
+    fn journal_poll() -> JournalPoll {
+        JournalPoll::new("127.0.0.1:9".parse().unwrap())
     }
 
     #[test]
     fn next_request_is_immediate_unless_answer_was_early_and_empty_or_incomplete() {
-        let mut discovery = discovery();
+        let mut poll = journal_poll();
         for (after, has_events, is_complete, delay) in [
             (REQUESTED_WAIT, false, true, 0),
             (MS, true, true, 0),
             (MS, false, true, FIRST_RETRY_DELAY),
             (MS, true, false, FIRST_RETRY_DELAY),
         ] {
-            discovery.request_sent(0);
-            assert!(discovery.is_awaiting_answer());
-            assert_eq!(
-                discovery.answer_received(after, has_events, is_complete),
-                delay,
-                "{after} {has_events}"
-            );
-            assert!(!discovery.is_awaiting_answer());
+            poll.request_sent(0);
+            assert!(poll.is_awaiting_answer());
+            assert_eq!(poll.answer_received(after, has_events, is_complete), delay, "{after} {has_events}");
+            assert!(!poll.is_awaiting_answer());
         }
     }
 
     #[test]
-    fn retry_is_possible_after_each_failure_before_events_count_as_delivered() {
+    fn retry_is_possible_after_each_failure_before_updates_count_as_known() {
         // Connecting may take half a second, and fail once more.
         const CONNECT: Nanos = 500 * MS;
         let again = FIRST_RETRY_DELAY + CONNECT + REPEATED_RETRY_DELAY + CONNECT;
         for failure in [Failure::NotConnected, Failure::BrokenOff, Failure::Moved] {
-            assert!(again < failure.counts_as_delivered_after(), "{failure:?}");
+            assert!(again < failure.counts_as_known_after(), "{failure:?}");
         }
-        let overdue = discovery().request_sent(0);
-        assert!(overdue + FIRST_RETRY_DELAY < Failure::Overdue.counts_as_delivered_after());
+        let overdue = journal_poll().request_sent(0);
+        assert!(overdue + FIRST_RETRY_DELAY < Failure::Overdue.counts_as_known_after());
     }
 
     #[test]
     fn backoff_grows_after_repeated_failures_and_resets_after_an_answer() {
-        let mut discovery = discovery();
-        let mut fail = || discovery.request_failed(Failure::NotConnected);
+        let mut poll = journal_poll();
+        let mut fail = || poll.request_failed(Failure::NotConnected);
         assert_eq!([fail(), fail(), fail()], [FIRST_RETRY_DELAY, REPEATED_RETRY_DELAY, REPEATED_RETRY_DELAY]);
-        discovery.request_sent(0);
-        discovery.answer_received(REQUESTED_WAIT, false, true);
-        assert_eq!(discovery.request_failed(Failure::BrokenOff), FIRST_RETRY_DELAY);
-        discovery.set_address("127.0.0.1:10".parse().unwrap());
-        assert!(!discovery.is_awaiting_answer() && !discovery.is_overdue(Nanos::MAX));
+        poll.request_sent(0);
+        poll.answer_received(REQUESTED_WAIT, false, true);
+        assert_eq!(poll.request_failed(Failure::BrokenOff), FIRST_RETRY_DELAY);
+        poll.set_address("127.0.0.1:10".parse().unwrap());
+        assert!(!poll.is_awaiting_answer() && !poll.is_overdue(Nanos::MAX));
     }
 }
--- a/dillhold/src/engine/exchanges.rs
+++ b/dillhold/src/engine/exchanges.rs
@@ -18,8 +18,9 @@
 /// single refusal may come from a listener that is being restarted, and standing calls are worth waiting for.
 const REFUSALS_UNTIL_ENDED: u32 = 3;
 
-/// How long a message may stay incomplete. After that it never completes, and what follows it cannot be parsed.
-const INCOMPLETE_MESSAGE_TIMEOUT: Nanos = 500 * MS;
+/// How long an exchange's message may stay incomplete. After that it never completes, and what follows it cannot be
+/// parsed.
+const INCOMPLETE_EXCHANGE_MESSAGE_TIMEOUT: Nanos = 500 * MS;
 
 /// How long after a set-up the first reply of any kind may take. An exchange reports the state of its group at once,
 /// even while its processor answers nothing, so a connection that stays silent is dead although it looks open. The
@@ -153,7 +154,7 @@
         let readable = link.session.process_input(self.now, id, &mut self.calls).is_ok();
         if link.session.incomplete_since.is_some() && link.session.incomplete_since != incomplete_before {
             self.calls.deadlines.add(
-                self.now + INCOMPLETE_MESSAGE_TIMEOUT,
+                self.now + INCOMPLETE_EXCHANGE_MESSAGE_TIMEOUT,
                 Deadline::Engine(EngineDeadline::IncompleteMessage(id, conn_id)),
             );
         }
@@ -197,12 +198,12 @@
         let Some(link) = self.links.get_mut(&id) else { return };
         if let (Some(conn_id), None) = (link.conn, link.awaiting_reply_since) {
             link.awaiting_reply_since = Some(self.now);
-            let deadline = Deadline::Engine(EngineDeadline::SilenceTimeout(id, conn_id));
+            let deadline = Deadline::Engine(EngineDeadline::ReplyTimeout(id, conn_id));
             self.calls.deadlines.add(self.now + (REPLY_TIMEOUT << link.silent_connections), deadline);
         }
     }
 
-    pub(super) fn handle_silent_connection(&mut self, id: ExchangeId, conn_id: ConnId) {
+    pub(super) fn handle_reply_timeout(&mut self, id: ExchangeId, conn_id: ConnId) {
         let Some(link) = self.links.get_mut(&id).filter(|l| l.conn == Some(conn_id)) else { return };
         if link
             .awaiting_reply_since
@@ -217,7 +218,7 @@
         let link = self.links.get(&id).filter(|l| l.conn == Some(conn_id));
         if link
             .and_then(|l| l.session.incomplete_since)
-            .is_some_and(|since| self.now >= since + INCOMPLETE_MESSAGE_TIMEOUT)
+            .is_some_and(|since| self.now >= since + INCOMPLETE_EXCHANGE_MESSAGE_TIMEOUT)
         {
             self.close(conn_id, CloseReason::ExchangeMessageIncomplete);
         }
--- a/dillhold/src/engine/failure_detector.rs
+++ b/dillhold/src/engine/failure_detector.rs
@@ -12,9 +12,9 @@
 /// Silence after which an exchange is checked.
 const SUSPECT_AFTER: Nanos = 2_000 * MS;
 /// Interval between checks of a suspect exchange.
-pub const CHECK_INTERVAL: Nanos = 250 * MS;
+pub const LIVENESS_CHECK_INTERVAL: Nanos = 250 * MS;
 /// Timeout for establishing a liveness check connection. Some take up to a second.
-pub const CHECK_TIMEOUT: Nanos = 1_000 * MS;
+pub const LIVENESS_CHECK_TIMEOUT: Nanos = 1_000 * MS;
 /// Silence after which an exchange is dead. A caller has to be notified within 8 s of the end of its call, which may
 /// follow directly on the last sign of life; the remaining time is for a release that waits for a connection and for
 /// delays of this process.
@@ -87,7 +87,7 @@
         if silent >= DEAD_AFTER {
             Liveness::Dead
         } else if silent >= SUSPECT_AFTER {
-            Liveness::Suspect((now + CHECK_INTERVAL).min(self.last_heard_at + DEAD_AFTER))
+            Liveness::Suspect((now + LIVENESS_CHECK_INTERVAL).min(self.last_heard_at + DEAD_AFTER))
         } else {
             Liveness::Alive(self.last_heard_at + SUSPECT_AFTER)
         }
@@ -102,7 +102,10 @@
     fn silent_exchange_becomes_suspect_then_dead() {
         let mut detector = FailureDetector::new(0);
         assert_eq!(detector.liveness(0), Liveness::Alive(SUSPECT_AFTER));
-        assert_eq!(detector.liveness(SUSPECT_AFTER), Liveness::Suspect(SUSPECT_AFTER + CHECK_INTERVAL));
+        assert_eq!(
+            detector.liveness(SUSPECT_AFTER),
+            Liveness::Suspect(SUSPECT_AFTER + LIVENESS_CHECK_INTERVAL)
+        );
         let last = DEAD_AFTER - MS;
         assert_eq!(detector.liveness(last), Liveness::Suspect(DEAD_AFTER), "check due no later than death");
         assert_eq!(detector.liveness(DEAD_AFTER), Liveness::Dead);
--- a/dillhold/src/engine/journal.rs
+++ b/dillhold/src/engine/journal.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::close_reason::CloseReason;
-use super::discovery::{Discovery, Failure};
+use super::discovery::{Failure, JournalPoll};
 use super::{ConnId, Engine, Peer};
 use crate::call::{Deadline, EngineDeadline};
 use crate::directory;
@@ -11,23 +11,23 @@
 
 /// The journal service and the connection to it.
 pub struct JournalClient {
-    discovery: Discovery,
+    poll: JournalPoll,
     conn: Option<ConnId>,
 }
 
 impl JournalClient {
     /// Creates a client that has sent no request yet.
     pub fn new(address: SocketAddr) -> JournalClient {
-        JournalClient { discovery: Discovery::new(address), conn: None }
+        JournalClient { poll: JournalPoll::new(address), conn: None }
     }
 }
 
 impl Engine {
     pub(super) fn poll_journal(&mut self) {
-        if self.journal_client.discovery.is_awaiting_answer() {
+        if self.journal_client.poll.is_awaiting_answer() {
             return;
         }
-        let address = self.journal_client.discovery.address();
+        let address = self.journal_client.poll.address();
         if self.journal_client.conn.is_none() {
             self.journal_client.conn = self.connect(address, Peer::Journal(JournalSession::default()));
         }
@@ -39,7 +39,7 @@
         };
         journal.send_poll(position, address);
         self.needs_flush.insert(conn_id);
-        let overdue_at = self.journal_client.discovery.request_sent(self.now);
+        let overdue_at = self.journal_client.poll.request_sent(self.now);
         self.calls.deadlines.add(overdue_at, Deadline::Engine(EngineDeadline::JournalTimeout(conn_id)));
     }
 
@@ -57,14 +57,14 @@
             let conn_id = self.journal_client.conn.take();
             conn_id.and_then(|conn_id| self.remove_conn(conn_id));
         }
-        let delay = self.journal_client.discovery.answer_received(self.now, has_events, is_complete);
+        let delay = self.journal_client.poll.answer_received(self.now, has_events, is_complete);
         self.calls.deadlines.add(self.now + delay, Deadline::Engine(EngineDeadline::PollJournal));
     }
 
     /// Handles a journal connection that was lost or could not be established.
     pub(super) fn journal_disconnected(&mut self, connect_failed: bool) {
         self.journal_client.conn = None;
-        let overdue = self.journal_client.discovery.is_overdue(self.now);
+        let overdue = self.journal_client.poll.is_overdue(self.now);
         self.journal_request_failed(match (connect_failed, overdue) {
             (true, _) => Failure::NotConnected,
             (_, true) => Failure::Overdue,
@@ -73,25 +73,25 @@
     }
 
     fn journal_request_failed(&mut self, failure: Failure) {
-        let delay = self.journal_client.discovery.request_failed(failure);
+        let delay = self.journal_client.poll.request_failed(failure);
         self.calls.deadlines.add(self.now + delay, Deadline::Engine(EngineDeadline::PollJournal));
     }
 
     /// Handles the timeout of a request. A connection that stays open and silent is closed, so that the events are
     /// requested again before they count as known.
     pub(super) fn handle_journal_timeout(&mut self, conn_id: ConnId) {
-        if self.journal_client.discovery.is_overdue(self.now) && self.journal_client.conn == Some(conn_id) {
+        if self.journal_client.poll.is_overdue(self.now) && self.journal_client.conn == Some(conn_id) {
             self.close(conn_id, CloseReason::JournalSilent);
         }
     }
 
     /// Requests the journal at another address at once, from the last event known.
     pub(super) fn change_journal_address(&mut self, address: SocketAddr) {
-        if address == self.journal_client.discovery.address() {
+        if address == self.journal_client.poll.address() {
             return;
         }
         self.journal_client.conn.take().and_then(|conn_id| self.remove_conn(conn_id));
-        self.journal_client.discovery.set_address(address);
+        self.journal_client.poll.set_address(address);
         self.poll_journal();
     }
 }
--- a/dillhold/src/engine/leave.rs
+++ b/dillhold/src/engine/leave.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether no set-up is open, no caller's connection is in use and nothing is left to write to callers.
-    pub(super) fn has_finished_leaving(&self) -> bool {
+    pub(super) fn can_finish_shutdown(&self) -> bool {
         let in_use = |conn: &super::Conn| matches!(conn.peer, Peer::Caller(_)) && !conn.write_closed;
         self.shutdown.phase() == Phase::Leaving
             && self.calls.open_set_ups() == 0
--- a/dillhold/src/engine/liveness.rs
+++ b/dillhold/src/engine/liveness.rs
@@ -4,7 +4,7 @@
 use pitchgw::interface::{ExchangeId, Nanos};
 
 use super::close_reason::CloseReason;
-use super::failure_detector::{Liveness, CHECK_INTERVAL, CHECK_TIMEOUT};
+use super::failure_detector::{Liveness, LIVENESS_CHECK_INTERVAL, LIVENESS_CHECK_TIMEOUT};
 use super::{ConnId, Engine, Peer};
 use crate::call::{Deadline, EngineDeadline};
 use crate::clock::MS;
@@ -24,7 +24,7 @@
 /// A connection without input for this long while calls stand is replaced even if the exchange is alive: the
 /// connection may be dead, and what the exchange sends on it is lost. It is sent again on the next connection;
 /// callers have to be notified within 8 s.
-const SILENT_CONNECTION_TIMEOUT: Nanos = 5_000 * MS;
+const QUIET_CONNECTION_TIMEOUT: Nanos = 5_000 * MS;
 
 /// A connection that is only used to check whether an exchange is alive. No set-up is sent on it; its input is
 /// processed like that of any other connection.
@@ -53,13 +53,13 @@
             link.detector.check_scheduled = false;
             return self.stop_check(id);
         }
-        let replace_at = link.last_heard_at + SILENT_CONNECTION_TIMEOUT;
+        let replace_at = link.last_heard_at + QUIET_CONNECTION_TIMEOUT;
         match link.detector.liveness(self.now) {
             Liveness::Alive(next_check_at) => {
-                self.replace_silent_connection(id);
+                self.replace_quiet_connection(id);
                 self.schedule_liveness_check(
                     id,
-                    next_check_at.min(replace_at).max(self.now + CHECK_INTERVAL),
+                    next_check_at.min(replace_at).max(self.now + LIVENESS_CHECK_INTERVAL),
                 );
             }
             Liveness::Suspect(next_check_at) => {
@@ -89,7 +89,7 @@
         // An exchange repeats unsent messages on its next connection, so the old one is closed first.
         self.stop_check(id);
         let check = LivenessCheck { exchange: id, session: ExchangeSession::default(), connected_at: 0 };
-        let conn = self.connect_within(address, Peer::Check(check), CHECK_TIMEOUT);
+        let conn = self.connect_within(address, Peer::Check(check), LIVENESS_CHECK_TIMEOUT);
         tracing::debug!(exchange = id, conn, "exchange is silent: liveness check started");
         if let Some(link) = self.links.get_mut(&id) {
             link.check_conn = conn;
@@ -132,11 +132,11 @@
 
     /// Replaces a connection without recent input to an exchange that is alive. Not while attempts are pending, and not
     /// if the exchange sends no greeting: such an exchange may be idle, and its checks go on for as long as it is.
-    fn replace_silent_connection(&mut self, id: ExchangeId) {
+    fn replace_quiet_connection(&mut self, id: ExchangeId) {
         let Some(link) = self.links.get(&id) else { return };
         let Some(conn) = link.conn.filter(|conn| self.is_connected(*conn)) else { return };
         let quiet =
-            link.detector.sends_greeting() && self.now >= link.last_heard_at + SILENT_CONNECTION_TIMEOUT;
+            link.detector.sends_greeting() && self.now >= link.last_heard_at + QUIET_CONNECTION_TIMEOUT;
         if quiet && !self.calls.has_pending_attempts(id) {
             self.close(conn, CloseReason::ExchangeQuiet);
         }
--- a/dillhold/src/engine/mod.rs
+++ b/dillhold/src/engine/mod.rs
@@ -212,7 +212,7 @@
 
     /// Ends the turn. Emits [`Output::Stop`] once a shutdown is complete.
     pub fn end_turn(&mut self) {
-        if self.has_finished_leaving() {
+        if self.can_finish_shutdown() {
             self.finish_shutdown();
         }
     }
@@ -444,9 +444,10 @@
             caller.acknowledge_releases();
         }
         self.outputs.push_back(Output::ShutdownWrite(conn_id));
-        self.calls
-            .deadlines
-            .add(self.now + WRITE_SHUTDOWN_TIMEOUT, Deadline::Engine(EngineDeadline::FinishTimeout(conn_id)));
+        self.calls.deadlines.add(
+            self.now + WRITE_SHUTDOWN_TIMEOUT,
+            Deadline::Engine(EngineDeadline::WriteShutdownTimeout(conn_id)),
+        );
     }
 
     /// Discards the input of a connection whose writing side is closed.
@@ -566,7 +567,7 @@
                 }
             }
             EngineDeadline::IncompleteMessage(id, conn_id) => self.handle_incomplete_message(id, conn_id),
-            EngineDeadline::SilenceTimeout(id, conn_id) => self.handle_silent_connection(id, conn_id),
+            EngineDeadline::ReplyTimeout(id, conn_id) => self.handle_reply_timeout(id, conn_id),
             EngineDeadline::Reconnect(id) => self.reconnect_exchange(id),
             EngineDeadline::LivenessCheck(id) => self.check_liveness(id),
             EngineDeadline::CompareCircuits { exchange, since } => {
@@ -578,7 +579,7 @@
             EngineDeadline::DeliverReleases => self.deliver_releases(None),
             EngineDeadline::StopListening => self.stop_listening(),
             EngineDeadline::CloseUnused => self.close_unused_callers(),
-            EngineDeadline::FinishTimeout(conn_id) => self.connection_lost(conn_id),
+            EngineDeadline::WriteShutdownTimeout(conn_id) => self.connection_lost(conn_id),
             EngineDeadline::ForcedExit => self.finish_shutdown(),
         }
     }
--- a/dillhold/tests/engine.rs
+++ b/dillhold/tests/engine.rs
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn retries_connect_after_timeout_and_delay() {
+fn reconnects_after_connect_timeout_and_delay() {
     let mut harness = EngineHarness::new();
     let first = harness.last_connect_to(1).unwrap();
     harness.advance(499 * MS);
@@ -342,7 +342,7 @@
 /// Guards against a timeout so short that a slow service is sent request after request and its answers are never
 /// read.
 #[test]
-fn waits_for_slow_journal_and_retries_silent_one_before_events_count_as_delivered() {
+fn waits_for_slow_journal_and_retries_silent_one_before_updates_count_as_known() {
     let mut harness = EngineHarness::new();
     let journal = harness.establish(9);
     harness.advance(3_300 * MS);
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn releases_calls_of_vanished_exchange_without_discovery() {
+fn releases_calls_of_vanished_exchange_without_journal_update() {
     let mut harness = EngineHarness::new();
     let (exchange, caller) = (harness.establish(1), harness.accept_caller());
     establish_call(&mut harness, caller, exchange, 7);
--- a/dillhold/tests/program.rs
+++ b/dillhold/tests/program.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn retries_after_release_time_and_releases_late_answer() {
+fn sends_next_attempt_after_release_time_and_releases_late_answer() {
     let (_program, mut caller, mut first, _second, _listeners) = start_with_peers("late");
     caller.send_set_up(6);
     first.read_sip("INVITE ");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn retries_after_connection_loss_and_releases_calls_of_ended_exchange() {
+fn sends_next_attempt_after_connection_loss_and_releases_calls_of_ended_exchange() {
     let (_program, mut caller, mut first, _second, listeners) = start_with_peers("dies");
     establish_call(&mut caller, &mut first, 10);
     caller.send_set_up(11);
@@ -172,7 +172,7 @@
 
 /// Guards against an incomplete answer that blocks everything behind it for as long as its connection is open.
 #[test]
-fn incomplete_answer_closes_connection_and_is_retried() {
+fn incomplete_answer_closes_connection_and_causes_next_attempt() {
     let (_program, mut caller, mut exchange, _, listeners) = start_with_peers("short");
     caller.send_set_up(21);
     exchange.read_sip("INVITE ");
@@ -186,8 +186,8 @@
     assert_eq!(caller.read_binary(), (ANSWER, 21, 0, b"whole".to_vec()));
 }
 
-/// Guards against a connection that stays open but sends nothing: it would swallow every set-up to its exchange and
-/// the releases of the calls standing there.
+/// Guards against a connection that stays open but sends nothing: every set-up to its exchange would be lost on
+/// it, and the releases of the calls standing there.
 #[test]
 fn replaces_silent_connection_and_repeats_set_up() {
     let (_program, mut caller, mut silent, _, listeners) = start_with_peers("silent");
@@ -205,7 +205,7 @@
 
 /// While the journal is silent nothing else reports that a machine has vanished, and callers would keep ended calls.
 #[test]
-fn releases_calls_of_vanished_exchange_while_discovery_is_silent() {
+fn releases_calls_of_vanished_exchange_while_journal_is_silent() {
     let (_program, mut caller, mut vanished, _other, listeners) = start_with_peers("vanishes");
     establish_call(&mut caller, &mut vanished, 31);
     let _queue = make_unreachable(&listeners[1]);
