--- a/trunks/src/busy.rs
+++ b/trunks/src/busy.rs
@@ -1,7 +1,7 @@
 //! Finds the busy hour whose load a group is sized for. A daily average or a mean over all days hides a peak that
-//! occurs on some days only, such as Saturdays. Days are therefore classified by kind, and the busy hour is found for
-//! each kind: either the time-consistent busy hour (ITU-T E.600: the hour of the day with the highest mean load over the
-//! days of the kind) or the n-th highest hour of all its days.
+//! occurs on some days only, such as Saturdays. Days are therefore classified by kind, and the busy hour is found
+//! for each kind: either the time-consistent busy hour (ITU-T E.600: the hour of the day with the highest mean load
+//! over the days of the kind) or the n-th highest hour of all its days.
 
 use std::collections::BTreeMap;
 
