--- a/dillhold/src/call/mod.rs
+++ b/dillhold/src/call/mod.rs
@@ -475,7 +475,7 @@
     /// module. With `retire_id`, the id is not accepted again for a while.
     fn abandon_call(&mut self, now: Nanos, id: u64, retire_id: bool) {
         if let Some(handle) = self.mark_answered(id) {
-            self.dispatch_event(now, Event::CallerHungUp(handle));
+            self.dispatch_event(now, Event::CallerGaveUp(handle));
             self.cancel_attempt(now, id, Outcome::CalledOff);
             self.remove_call(now, id, retire_id);
         }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -2,7 +2,7 @@
 //!
 //! The mechanism is Profit Optimal Congestion Control (Arvidsson, Pettersson, Angelin), described in
 //! `docs/design.md`: predict how long a set-up takes from this exchange's own recent round-trip delays, and
-//! send the call only when the expected payoff of trying exceeds that of refusing.
+//! send the call only when the expected payoff of sending exceeds that of refusing.
 //!
 //! Spans in "targets" are multiples of a delay target: the time within which a call has to stand to earn its
 //! full worth.
@@ -14,19 +14,20 @@
 
 use crate::interface::*;
 
-/// Routes remembered per listed exchange: the direct one and the tandems that carry most of the overflow.
-/// When the table is full, the least recently used half is evicted.
+/// Capacity of the route table per listed machine. When the table is full, the less recently used half is
+/// evicted, except routes with pending set-ups.
 const MAX_ROUTES_PER_EXCHANGE: usize = 24;
-/// A route unused for this many longest targets is tried again.
-const UNUSED_ROUTE_RETRY_TARGETS: f64 = 5.0;
+/// After this many longest targets without use, the minimum round trip of a route is no longer trusted (see
+/// [`Route::trusted_min_rtt_secs`]).
+const UNUSED_ROUTE_TARGETS: f64 = 5.0;
 /// Upper limit of the minimum round trip assumed for such a route, in longest targets.
 const UNUSED_ROUTE_RTT_CAP_TARGETS: f64 = 0.5;
 /// Round trip recorded for a set-up that was rejected or timed out, in targets of its class.
 const FAILED_SET_UP_RTT_TARGETS: f64 = 2.0;
 /// The delay ratio is taken at the first 1/n of the active routes in ascending order.
 const DELAY_RATIO_QUANTILE: usize = 3;
-/// Longest time that a failure stays in force on a route with infrequent calls, in targets of the class.
-const MAX_FAILURE_HOLD_TARGETS: f64 = 4.0;
+/// Longest time that a failure stays in force on its route, in targets of the class.
+const MAX_FAILURE_VALIDITY_TARGETS: f64 = 4.0;
 /// Smoothing factor of the interval between calls for one destination.
 const CALL_INTERVAL_SMOOTHING: f64 = 0.25;
 /// A set-up pending for longer than this, in longest targets, counts as evidence on its own route only and no
@@ -37,7 +38,7 @@
 /// Time per pending set-up assumed before any answer, in longest targets. A controller that starts during a
 /// mass redial (its predecessor's calls were cut) must not send every call before the first answer.
 const INITIAL_TIME_PER_PENDING_TARGETS: f64 = 0.1;
-/// Smoothing factor of the shares: tandem set-ups accepted, and set-ups that an exchange fails without cause.
+/// Smoothing factor of the shares: tandem set-ups accepted, and set-ups that fail without a stated cause.
 const SHARE_SMOOTHING: f64 = 0.05;
 /// A timer overdue by more than this shows that this process itself was paused.
 const PAUSE_DETECTION_SECS: f64 = 0.1;
@@ -75,14 +76,15 @@
 const MIN_RATE_BIAS_CORRECTION: f64 = 0.2;
 /// Time constant of the decay of the peak carried rate. Destinations without a call for as long are removed.
 const PEAK_RATE_DECAY_SECS: f64 = 600.0;
-/// Above this share of unexplained failures the exchange is at fault, not the call: a retry may succeed.
+/// Above this share of unexplained failures the exchange is at fault, not the call: another attempt may
+/// succeed.
 const FAULTY_EXCHANGE_SHARE: f64 = 0.1;
 /// Retry-after time of a refused call that can still be on time, in longest targets.
 const RETRY_AFTER_ON_TIME_TARGETS: f64 = 0.15;
 /// Retry-after time of a refused call that can only be late, in longest targets.
 const RETRY_AFTER_LATE_TARGETS: f64 = 1.0;
 /// A final answer is given this many ticks before the caller's deadline in any case.
-const ANSWER_MARGIN_TICKS: u64 = 2;
+const FINAL_ANSWER_MARGIN_TICKS: u64 = 2;
 /// Interval between requests for the list of exchanges after one failed.
 const LIST_RETRY_SECS: f64 = 1.0;
 /// Timer token of the list request; the timers of calls use the call's id.
@@ -120,8 +122,8 @@
     failed: bool,
     /// Upper limit of its validity: one target, so that a single pause cannot close a route for long.
     max_validity_secs: f64,
-    /// How long after its end a far-side failure stays in force on this route, even past its validity.
-    failure_hold_secs: f64,
+    /// How long after its end a far-side failure stays in force on this route, even past `max_validity_secs`.
+    failure_validity_secs: f64,
 }
 
 /// Estimate of the present load.
@@ -164,10 +166,9 @@
     /// The minimum round trip as far as it can be relied on. Only an answer lowers the minimum: after a
     /// processor hang, one late first answer closed its route permanently, because nothing was sent that
     /// could have been answered sooner. A route unused for long therefore gets a lower assumed minimum, so
-    /// that a call tries it again. The delay ratio still applies.
+    /// that a call is sent on it again. The delay ratio still applies.
     fn trusted_min_rtt_secs(&self, now: Nanos, load: LoadEstimate) -> f64 {
-        let unused =
-            nanos_to_secs(now - self.last_used) > UNUSED_ROUTE_RETRY_TARGETS * load.longest_target_secs;
+        let unused = nanos_to_secs(now - self.last_used) > UNUSED_ROUTE_TARGETS * load.longest_target_secs;
         let cap =
             if unused { UNUSED_ROUTE_RTT_CAP_TARGETS * load.longest_target_secs } else { f64::INFINITY };
         self.min_rtt_secs.unwrap_or(load.typical_min_rtt_secs).min(cap)
@@ -180,24 +181,25 @@
         if let Some(sent) = self.oldest_pending_sent_at() {
             return nanos_to_secs(now - sent) + scaled_min_rtt; // state 2: a set-up is pending
         }
-        let held_failure =
-            self.last_round_trip.filter(|last| nanos_to_secs(now - last.ended_at) < last.failure_hold_secs);
-        match self.valid_round_trip(now, delay_ratio).or(held_failure) {
+        let failure_in_force = self
+            .last_round_trip
+            .filter(|last| nanos_to_secs(now - last.ended_at) < last.failure_validity_secs);
+        match self.valid_round_trip(now, delay_ratio).or(failure_in_force) {
             Some(last) => last.duration_secs, // state 3: a recent round trip
             None => scaled_min_rtt,           // state 1: idle
         }
     }
 }
 
-/// A listed exchange.
+/// A listed machine of an exchange.
 #[derive(Clone, Debug)]
 struct Exchange {
     number: u32,
     since: Option<Nanos>,
-    standing: ExchangeState,
+    state: ExchangeState,
     /// During the cold start: earliest time of the next set-up to it.
     next_cold_send: Nanos,
-    /// Smoothed share of set-ups that it fails without giving a cause.
+    /// Smoothed share of set-ups that it fails without stating a cause.
     fault_share: f64,
 }
 
@@ -222,7 +224,7 @@
 /// A group without any report.
 const UNREPORTED_GROUP: TrunkGroup = TrunkGroup { free: f64::INFINITY, size: 0.0 };
 
-/// A pending attempt.
+/// An attempt that has not ended: it is pending, or its call stands.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     number: u32,
@@ -254,22 +256,22 @@
     wait: Nanos,
 }
 
-/// A call that has no final answer yet, or an attempt pending.
+/// A call that awaits its final answer or whose current attempt has not ended (calls that stand included).
 #[derive(Clone, Debug)]
 struct Call {
     request: NewCall,
     on_time_until: Nanos,
-    answer_by: Nanos,
+    final_answer_by: Nanos,
     attempt_count: u32,
-    pending_attempt: Option<Attempt>,
+    current_attempt: Option<Attempt>,
     stands: bool,
     /// The final answer was given or is no longer due.
-    answered: bool,
+    final_answer_given: bool,
     /// Earliest time of the next attempt (release wait).
     not_before: Nanos,
     /// An attempt ended with an outcome that does not rule out that it ran.
     may_have_run: bool,
-    tried: Vec<ExchangeId>,
+    attempted_exchanges: Vec<ExchangeId>,
 }
 
 /// State of a dialled number that has not been reached.
@@ -322,7 +324,7 @@
     timers_due: BTreeSet<Nanos>,
     /// Total time for which this process was paused.
     total_pause: Nanos,
-    last_wake_at: Nanos,
+    last_pause_ended_at: Nanos,
 }
 
 impl Controller {
@@ -359,7 +361,7 @@
             list_requested: false,
             timers_due: BTreeSet::new(),
             total_pause: 0,
-            last_wake_at: 0,
+            last_pause_ended_at: 0,
         })
     }
 
@@ -378,7 +380,7 @@
         // Timers expire on time, so an overdue one shows that this process was paused since then.
         if nanos_to_secs(now - due) > PAUSE_DETECTION_SECS {
             self.total_pause += now - due;
-            self.last_wake_at = now;
+            self.last_pause_ended_at = now;
         }
         self.timers_due = self.timers_due.split_off(&(now + 1));
         match event {
@@ -390,9 +392,9 @@
                 let end = AttemptEnd { call, attempt, outcome, cause, call_over };
                 self.handle_attempt_ended(now, end, actions);
             }
-            Event::CallerHungUp(call) => {
-                self.calls.entry(call).and_modify(|c| c.answered = true);
-                self.remove_if_finished(call);
+            Event::CallerGaveUp(call) => {
+                self.calls.entry(call).and_modify(|c| c.final_answer_given = true);
+                self.remove_if_ended(call);
             }
             Event::TimerExpired(LIST_RETRY_TOKEN) => self.request_list(actions),
             Event::TimerExpired(call) => self.advance_call(now, call, actions),
@@ -423,9 +425,9 @@
         group.size = reported_or(report.group_size, group.size);
     }
 
-    /// Present delay of active routes as a multiple of their minimum, at the lower third of the routes rather
-    /// than their sum. All set-ups pass the own processor, so a delay on all routes is its own. Slow, silent
-    /// or unreachable exchanges, even if they are the majority, must not close healthy routes.
+    /// Present delay of active routes as a multiple of their minimum, taken at the lower third of the routes'
+    /// ratios: only a delay that most routes share is caused by the own processor, which all set-ups pass.
+    /// Slow, silent or unreachable exchanges, even if they are the majority, must not close healthy routes.
     fn current_delay_ratio(&mut self, now: Nanos) -> f64 {
         let (mut ratios, mut any_answer) = (Vec::new(), false);
         // A single pass over the routes used within the last target, however many routes there are.
@@ -477,7 +479,7 @@
             measures_delay: true,
             failed: false,
             max_validity_secs: target_secs,
-            failure_hold_secs: 0.0,
+            failure_validity_secs: 0.0,
         });
         route.consecutive_failures = 0;
         self.typical_min_rtt_secs += ROUND_TRIP_SMOOTHING * (min_rtt - self.typical_min_rtt_secs);
@@ -508,9 +510,9 @@
         let confirmed =
             route.consecutive_failures > 0 && sent >= route.last_round_trip.map_or(0, |l| l.ended_at);
         route.consecutive_failures = if confirmed { 2 } else { route.consecutive_failures.max(1) };
-        let failure_hold_secs = if far_side {
+        let failure_validity_secs = if far_side {
             (interval_secs * f64::from(route.consecutive_failures))
-                .min(MAX_FAILURE_HOLD_TARGETS * target_secs)
+                .min(MAX_FAILURE_VALIDITY_TARGETS * target_secs)
         } else {
             0.0
         };
@@ -521,7 +523,7 @@
             measures_delay,
             failed: true,
             max_validity_secs: target_secs,
-            failure_hold_secs,
+            failure_validity_secs,
         });
     }
 
@@ -575,7 +577,8 @@
         let deviation = self.error_variance.sqrt().max(MIN_ERROR_DEVIATION_TARGETS * target_secs);
         let secs_left = |until: Nanos| until as f64 * 1e-9 - now as f64 * 1e-9;
         let on_time = normal_cdf((secs_left(call.on_time_until) - predicted_secs) / deviation);
-        let late = (normal_cdf((secs_left(call.answer_by) - predicted_secs) / deviation) - on_time).max(0.0);
+        let late =
+            (normal_cdf((secs_left(call.final_answer_by) - predicted_secs) / deviation) - on_time).max(0.0);
         let failed = 1.0 - on_time - late;
         let gain = class.worth * (on_time + class.late_worth_share * late);
         let loss = class.worth * (FAILURE_COST_SHARE + self.settings.late_failure_penalty) * failed;
@@ -623,7 +626,7 @@
         group.free >= f64::from(call.request.width) + (reserve * group.size.sqrt()).ceil()
     }
 
-    /// Selects a route for a call without a pending attempt; `None` if no route has a positive payoff.
+    /// Selects a route for a call without a current attempt; `None` if no route has a positive payoff.
     fn select_route(&mut self, now: Nanos, call: &Call) -> Option<RouteChoice> {
         let destination = call.request.destination;
         let direct =
@@ -650,7 +653,9 @@
             if self.expected_payoff(now + wait, call, predicted_secs, 1.0, scarcity, 1.0) <= 0.0 {
                 continue;
             }
-            if self.has_room(exchange, call, call.request.in_transit) && !call.tried.contains(&exchange) {
+            if self.has_room(exchange, call, call.request.in_transit)
+                && !call.attempted_exchanges.contains(&exchange)
+            {
                 return Some(RouteChoice { exchange, predicted_secs, wait });
             }
             blocked = true;
@@ -687,7 +692,10 @@
             let exchange = self.exchanges.get(&id)?;
             let other =
                 exchange.number != destination && Some(exchange.number) != self.settings.home_exchange;
-            if !other || self.machine_in_service(exchange.number) != Some(id) || call.tried.contains(&id) {
+            if !other
+                || self.machine_in_service(exchange.number) != Some(id)
+                || call.attempted_exchanges.contains(&id)
+            {
                 return None;
             }
             if !self.has_room(id, call, true) || self.cold_start_wait(now, id) > 0 {
@@ -790,23 +798,23 @@
             self.exchanges.retain(|id, _| listed.contains(id));
         }
         let interval = self.cold_send_interval();
-        for Entry { exchange, number, since, standing, .. } in entries {
+        for Entry { exchange, number, since, standing: state, .. } in entries {
             let known = self.exchanges.get(&exchange).filter(|x| x.since == since);
             // All controllers learn of a start at once, so each draws its own first moment in the interval.
             let initial = || (now + self.rng.next_u64() % interval.max(1), 0.0);
             let (next_cold_send, fault_share) =
                 known.map_or_else(initial, |x| (x.next_cold_send, x.fault_share));
-            self.exchanges
-                .insert(exchange, Exchange { number, since, standing, next_cold_send, fault_share });
+            self.exchanges.insert(exchange, Exchange { number, since, state, next_cold_send, fault_share });
         }
-        self.exchanges.retain(|_, x| x.standing != ExchangeState::Gone);
+        self.exchanges.retain(|_, x| x.state != ExchangeState::Gone);
         // Machines and numbers that are gone for good must not accumulate in a long run.
         self.routes.retain(|key, r| self.exchanges.contains_key(&key.first_hop) || !r.pending.is_empty());
         self.destinations
             .retain(|_, d| nanos_to_secs(now - d.last_call_at.unwrap_or(now)) < PEAK_RATE_DECAY_SECS);
-        // Of several machines in service with the same number, the last started is used.
+        // A draining machine gets no set-up. Of several machines in service with the same number, the last
+        // started is used.
         self.machines_in_service.clear();
-        for (id, exchange) in self.exchanges.iter().filter(|(_, x)| x.standing == ExchangeState::Up) {
+        for (id, exchange) in self.exchanges.iter().filter(|(_, x)| x.state == ExchangeState::Up) {
             let in_service = self.machines_in_service.entry(exchange.number).or_insert(*id);
             if self.exchanges[in_service].since <= exchange.since {
                 *in_service = *id;
@@ -845,24 +853,26 @@
             };
             destination.last_call_at = Some(now);
         }
-        let answer_by = request.deadline.saturating_sub(ANSWER_MARGIN_TICKS * self.settings.tick).max(now);
+        let final_answer_by =
+            request.deadline.saturating_sub(FINAL_ANSWER_MARGIN_TICKS * self.settings.tick).max(now);
         let (delay_target, redial_span) = (class.delay_target, class.deadline);
-        let on_time_until = (self.track_first_try(now, &request, redial_span) + delay_target).min(answer_by);
+        let on_time_until =
+            (self.track_first_try(now, &request, redial_span) + delay_target).min(final_answer_by);
         let call = Call {
             request,
             on_time_until,
-            answer_by,
+            final_answer_by,
             attempt_count: 0,
-            pending_attempt: None,
+            current_attempt: None,
             stands: false,
-            answered: false,
+            final_answer_given: false,
             not_before: now,
             may_have_run: false,
-            tried: Vec::new(),
+            attempted_exchanges: Vec::new(),
         };
-        actions.push(Action::SetTimer(id, answer_by));
+        actions.push(Action::SetTimer(id, final_answer_by));
         self.calls.insert(id, call);
-        if now == self.last_wake_at {
+        if now == self.last_pause_ended_at {
             // Part of the backlog of a pause, which may also hold list updates behind this call. Deciding by
             // timer puts the call after all events of this moment.
             return actions.push(Action::SetTimer(id, now));
@@ -872,14 +882,14 @@
 
     /// Takes the next step of a call: sends it, waits, or gives the final answer.
     fn advance_call(&mut self, now: Nanos, id: CallId, actions: &mut Vec<Action>) {
-        let Some(call) = self.calls.get(&id).filter(|c| !c.answered && !c.stands) else { return };
-        if now >= call.answer_by {
-            if let (Some(attempt), true) = (call.pending_attempt, self.settings.may_cancel) {
+        let Some(call) = self.calls.get(&id).filter(|c| !c.final_answer_given && !c.stands) else { return };
+        if now >= call.final_answer_by {
+            if let (Some(attempt), true) = (call.current_attempt, self.settings.may_cancel) {
                 actions.push(Action::CancelAttempt { call: id, attempt: attempt.number });
             }
             return self.give_final_answer(now, id, false, actions);
         }
-        if call.pending_attempt.is_some() {
+        if call.current_attempt.is_some() {
             return;
         }
         if now < call.not_before {
@@ -909,10 +919,10 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         let acceptance_index =
             usize::from(call.request.advised_route.is_some() && call.request.advised_route == number);
-        let timeout = call.answer_by - now;
+        let timeout = call.final_answer_by - now;
         let attempt = call.attempt_count;
         call.attempt_count += 1;
-        call.tried.push(exchange);
+        call.attempted_exchanges.push(exchange);
         let key = RouteKey { destination: call.request.destination, first_hop: exchange };
         self.trunk_group_mut(exchange).free -= f64::from(call.request.width);
         let interval = self.cold_send_interval();
@@ -924,7 +934,7 @@
         route.pending.push(PendingSetUp { sent_at, call: id });
         self.counted_set_ups.insert(PendingSetUp { sent_at, call: id });
         if let Some(call) = self.calls.get_mut(&id) {
-            call.pending_attempt = Some(Attempt {
+            call.current_attempt = Some(Attempt {
                 number: attempt,
                 exchange,
                 sent_at,
@@ -950,36 +960,36 @@
             .and_modify(|x| x.fault_share += SHARE_SMOOTHING * (fault - x.fault_share));
     }
 
-    /// Gives the final answer of a call. A refusal invites a retry, so a call that must not run twice and may
-    /// have run fails instead.
+    /// Gives the final answer of a call. A refusal lets the caller redial, so a call that must not run twice
+    /// and may have run fails instead.
     fn give_final_answer(&mut self, now: Nanos, id: CallId, refuse: bool, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        call.answered = true;
+        call.final_answer_given = true;
         let still_on_time = now < call.on_time_until;
         let targets = if still_on_time { RETRY_AFTER_ON_TIME_TARGETS } else { RETRY_AFTER_LATE_TARGETS };
         let retry_after =
             secs_to_nanos(targets * self.longest_target_secs).min(self.settings.max_retry_after.unwrap_or(0));
-        let safe_to_retry = self.settings.classes[call.request.class].idempotent
-            || !(call.may_have_run || call.pending_attempt.is_some());
-        actions.push(if refuse && safe_to_retry {
+        let safe_to_redial = self.settings.classes[call.request.class].idempotent
+            || !(call.may_have_run || call.current_attempt.is_some());
+        actions.push(if refuse && safe_to_redial {
             Action::Refuse { call: id, retry_after }
         } else {
             Action::Fail(id)
         });
-        self.remove_if_finished(id);
+        self.remove_if_ended(id);
     }
 
-    fn remove_if_finished(&mut self, id: CallId) {
-        if self.calls.get(&id).is_some_and(|c| c.answered && c.pending_attempt.is_none()) {
+    fn remove_if_ended(&mut self, id: CallId) {
+        if self.calls.get(&id).is_some_and(|c| c.final_answer_given && c.current_attempt.is_none()) {
             self.calls.remove(&id);
         }
     }
 
     fn handle_call_stands(&mut self, now: Nanos, id: CallId, attempt: u32) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(attempt) = call.pending_attempt.filter(|a| a.number == attempt) else { return };
+        let Some(attempt) = call.current_attempt.filter(|a| a.number == attempt) else { return };
         call.stands = true;
-        call.answered = true;
+        call.final_answer_given = true;
         let class = &self.settings.classes[call.request.class];
         let (destination, dialled, target_secs) =
             (call.request.destination, call.request.dialled, nanos_to_secs(class.delay_target));
@@ -1022,9 +1032,9 @@
     fn handle_attempt_ended(&mut self, now: Nanos, end: AttemptEnd, actions: &mut Vec<Action>) {
         let AttemptEnd { call: id, attempt, outcome, cause, call_over } = end;
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(attempt) = call.pending_attempt.filter(|a| a.number == attempt) else { return };
-        call.pending_attempt = None;
-        call.answered |= call_over;
+        let Some(attempt) = call.current_attempt.filter(|a| a.number == attempt) else { return };
+        call.current_attempt = None;
+        call.final_answer_given |= call_over;
         let (destination, dialled, stood) = (call.request.destination, call.request.dialled, call.stands);
         let (target_secs, width) = (
             nanos_to_secs(self.settings.classes[call.request.class].delay_target),
@@ -1073,14 +1083,16 @@
         let exchange_fault = unexplained
             && self.exchanges.get(&attempt.exchange).is_some_and(|x| x.fault_share > FAULTY_EXCHANGE_SHARE);
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if call.answered {
-            return self.remove_if_finished(id);
+        if call.final_answer_given {
+            return self.remove_if_ended(id);
         }
-        // An exchange fault or a broken connection does not rule out the same route for the retry.
-        call.tried.retain(|x| *x != attempt.exchange || !exchange_fault && outcome != Outcome::Cut);
+        // An exchange fault or a broken connection does not rule out the same route for the next attempt.
+        call.attempted_exchanges
+            .retain(|x| *x != attempt.exchange || !exchange_fault && outcome != Outcome::Cut);
         if call.may_have_run && !self.settings.classes[call.request.class].idempotent {
             return self.give_final_answer(now, id, false, actions);
         }
+        // `ProcessorFull` with `NotSent` means that the own processor is down.
         let own_processor_down = outcome == Outcome::NotSent && matches!(cause, Cause::ProcessorFull(_));
         if stood || own_processor_down || outcome == Outcome::Failed && !exchange_fault {
             return self.give_final_answer(now, id, true, actions);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,8 @@
 //! Input and output types of the decision module ([`crate::controller`]).
 //!
-//! Times are nanoseconds of one monotonic clock. The host program that embeds the module assigns the ids of
-//! exchanges, calls and dialled numbers; the module only compares them.
+//! Times are nanoseconds of one monotonic clock. The program that embeds the module assigns the ids of
+//! exchanges, calls and dialled numbers; the module only compares them. An [`ExchangeId`] names a machine;
+//! the `number` of an [`Entry`] names the exchange (or pool), whichever machine serves it.
 
 use std::fmt;
 
@@ -288,7 +289,7 @@
     Unreachable,
     /// The set-up, or the call that stood, was cut.
     Cut,
-    /// Cancelled.
+    /// The attempt was cancelled.
     CalledOff,
     /// Never sent.
     NotSent,
@@ -331,7 +332,7 @@
     pub advised_route: Option<u32>,
     /// Whether this exchange is the tandem of the call.
     pub in_transit: bool,
-    /// Whether the caller dials again because its call was cut.
+    /// Whether the caller redials because its call was cut.
     pub after_cut: bool,
 }
 
@@ -365,13 +366,13 @@
         cause: Cause,
         /// Time since the set-up was sent.
         elapsed: Nanos,
-        /// Whether the call is over with this event, or was before.
+        /// Whether no final answer to the caller is due any more: it was given, or the caller gave up.
         call_over: bool,
         /// The report received with it.
         report: LoadReport,
     },
-    /// The caller has hung up, or its answer is overdue.
-    CallerHungUp(CallId),
+    /// The caller gave up, or its final answer is overdue or was given without the module.
+    CallerGaveUp(CallId),
     /// A timer set by [`Action::SetTimer`] expired; carries its token.
     TimerExpired(u64),
     /// The result of a probe, or (with `elapsed` zero) an unsolicited report of free circuits.
@@ -410,7 +411,7 @@
     Refuse {
         /// The call.
         call: CallId,
-        /// How long the caller is asked to wait before it dials again (0: not given).
+        /// How long the caller is asked to wait before it redials (0: not given).
         retry_after: Nanos,
     },
     /// Final answer: failed.
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -335,7 +335,7 @@
         self.next_number
     }
 
-    fn remove_if_finished(&mut self, id: &str) {
+    fn remove_if_ended(&mut self, id: &str) {
         if let Some(c) = self.calls.get(id) {
             if !c.open && c.pending_attempts == 0 {
                 self.call_names.remove(&c.call_id);
@@ -344,7 +344,7 @@
         }
     }
 
-    /// Parses an event for this instance. `None` if it refers to a finished call or is not used.
+    /// Parses an event for this instance. `None` if it refers to an ended call or is not used.
     pub fn parse_event(&mut self, message: &Message, pages: &ListPages) -> Result<Option<Event>, WireError> {
         Ok(match message.name.as_str() {
             "MEMBERS" => self.parse_list_update(message, pages)?,
@@ -361,8 +361,8 @@
                     c.open = false;
                     c.call_id
                 });
-                self.remove_if_finished(id);
-                call.map(Event::CallerHungUp)
+                self.remove_if_ended(id);
+                call.map(Event::CallerGaveUp)
             }
             "BELL" => {
                 let token = message.text(1, "cookie")?;
@@ -412,7 +412,7 @@
                 number: e.number,
                 zone: self.zone_index(e.zone.as_deref()),
                 since: e.since,
-                standing: e.standing,
+                standing: e.state,
             })
             .collect();
         Ok(Some(Event::ListUpdated(kind, entries)))
@@ -484,7 +484,7 @@
             c.open &= !call_over;
             c.call_id
         });
-        self.remove_if_finished(id);
+        self.remove_if_ended(id);
         Ok(call.map(|call| Event::AttemptEnded {
             call,
             attempt,
@@ -497,7 +497,7 @@
         }))
     }
 
-    /// Formats an action of this instance as a line. `None` if it refers to a finished call.
+    /// Formats an action of this instance as a line. `None` if it refers to an ended call.
     pub fn format_action(&mut self, instance: &str, action: &Action) -> Option<String> {
         let value = match action {
             Action::SendSetUp { call, exchange, timeout } => {
@@ -529,7 +529,7 @@
     fn close_call(&mut self, call: CallId) -> Option<String> {
         let id = self.call_names.get(&call)?.clone();
         self.calls.get_mut(&id)?.open = false;
-        self.remove_if_finished(&id);
+        self.remove_if_ended(&id);
         Some(id)
     }
 }
@@ -555,7 +555,7 @@
     exchange: String,
     since: Option<Nanos>,
     zone: Option<String>,
-    standing: ExchangeState,
+    state: ExchangeState,
     number: u32,
 }
 
@@ -579,7 +579,7 @@
                 exchange: entry.text(0, "exchange")?.to_string(),
                 since: entry.optional(1, "online-since", "a time in ns", as_integer)?.filter(|t| *t > 0),
                 zone: entry.optional(2, "dc", "a string", |v| v.as_str().map(String::from))?,
-                standing: match entry.text(3, "lifecycle")? {
+                state: match entry.text(3, "lifecycle")? {
                     "IN" => ExchangeState::Up,
                     "LAME" => ExchangeState::Draining,
                     "OUT" => ExchangeState::Gone,
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -81,7 +81,7 @@
     assert_eq!((report.free_circuits, report.group_size, report.processor_load), (None, Some(9.0), None));
     let refuse = Action::Refuse { call: call.call, retry_after: 0 };
     assert_eq!(names.format_action("agent/0", &refuse).unwrap(), r#"["DECLINE","agent/0","id-1",0]"#);
-    assert_eq!(parse_event(&mut names, r#"["HANGUP","agent/0","id-1"]"#), None, "the call is already over");
+    assert_eq!(parse_event(&mut names, r#"["HANGUP","agent/0","id-1"]"#), None, "the call has already ended");
     assert_eq!(names.format_action("agent/0", &refuse), None);
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -18,7 +18,7 @@
     Advance(u64),
     /// Offers a call.
     OfferCall { class: usize, destination: u32, advised: u32, transit: bool, number: u64, lifetime_ms: u64 },
-    /// Lets one of the pending attempts stand, complete or fail.
+    /// Lets one of the current attempts stand, complete or fail.
     ProgressAttempt { pick: usize, kind: usize },
     /// Reports free circuits, along with invalid values.
     ReportCircuits { exchange: u32, free: u32 },
@@ -26,9 +26,9 @@
     ChangeEntry { exchange: u32, state: usize, just_started: bool },
     /// Replaces the whole list by all exchanges or by none.
     ReplaceList { complete: bool },
-    /// Lets one of the callers that wait hang up.
-    HangUp { pick: usize },
-    /// Delivers events for a call that is unknown or over.
+    /// Lets one of the waiting callers give up.
+    CallerGivesUp { pick: usize },
+    /// Delivers events for a call that is unknown or has ended.
     StaleEvents { call: u64 },
 }
 
@@ -45,7 +45,7 @@
         1 => (0u32..5, 0usize..3, any::<bool>())
             .prop_map(|(exchange, state, just_started)| Step::ChangeEntry { exchange, state, just_started }),
         1 => prop::bool::weighted(0.8).prop_map(|complete| Step::ReplaceList { complete }),
-        1 => (0usize..64).prop_map(|pick| Step::HangUp { pick }),
+        1 => (0usize..64).prop_map(|pick| Step::CallerGivesUp { pick }),
         1 => (0u64..90).prop_map(|call| Step::StaleEvents { call }),
     ]
 }
@@ -74,7 +74,7 @@
     )
 }
 
-struct PendingAttempt {
+struct CurrentAttempt {
     attempt: u32,
     exchange: ExchangeId,
     times_out_at: Nanos,
@@ -84,8 +84,8 @@
 struct TrackedCall {
     request: NewCall,
     attempts: u32,
-    pending: Option<PendingAttempt>,
-    answered: bool,
+    current_attempt: Option<CurrentAttempt>,
+    final_answer_given: bool,
     /// End of the release wait.
     released_at: Nanos,
     may_have_run: bool,
@@ -154,8 +154,11 @@
                     "drain-kept: set-up to an exchange that is draining or gone"
                 );
                 let c = self.calls.get_mut(&call).expect("action for an unknown call");
-                assert!(!c.answered, "one-final-answer: set-up after the final answer");
-                assert!(c.pending.is_none(), "one-attempt-out: second attempt while one is pending");
+                assert!(!c.final_answer_given, "one-final-answer: set-up after the final answer");
+                assert!(
+                    c.current_attempt.is_none(),
+                    "one-attempt-out: second attempt before the first has ended"
+                );
                 assert!(self.now >= c.released_at, "release-waited: set-up during the release wait");
                 assert!(
                     c.attempts < self.settings.max_attempts,
@@ -180,24 +183,24 @@
                     );
                 }
                 let times_out_at = (self.now + timeout).min(c.request.deadline);
-                c.pending =
-                    Some(PendingAttempt { attempt: c.attempts, exchange, times_out_at, stands: false });
+                c.current_attempt =
+                    Some(CurrentAttempt { attempt: c.attempts, exchange, times_out_at, stands: false });
                 c.attempts += 1;
             }
             Action::Refuse { call, .. } | Action::Fail(call) => {
                 let refused = matches!(action, Action::Refuse { .. });
                 let c = self.calls.get_mut(&call).expect("action for an unknown call");
-                assert!(!c.answered, "one-final-answer: second final answer");
+                assert!(!c.final_answer_given, "one-final-answer: second final answer");
                 assert!(
                     self.now <= c.request.deadline + self.settings.answer_slack,
                     "answer-in-time: final answer after the deadline"
                 );
                 let idempotent = self.settings.classes[c.request.class].idempotent;
                 assert!(
-                    !refused || idempotent || !(c.may_have_run || c.pending.is_some()),
+                    !refused || idempotent || !(c.may_have_run || c.current_attempt.is_some()),
                     "refused although it is not idempotent and may have run"
                 );
-                c.answered = true;
+                c.final_answer_given = true;
             }
             Action::CancelAttempt { .. } => assert!(self.settings.may_cancel),
             Action::Probe(_) => assert!(self.settings.may_probe),
@@ -209,7 +212,8 @@
     fn advance_to(&mut self, until: Nanos) {
         loop {
             let timer = self.timers.keys().next().map(|k| k.0);
-            let unanswered = self.calls.values().filter_map(|c| c.pending.as_ref()).filter(|o| !o.stands);
+            let unanswered =
+                self.calls.values().filter_map(|c| c.current_attempt.as_ref()).filter(|o| !o.stands);
             let next = timer.into_iter().chain(unanswered.map(|o| o.times_out_at)).min();
             let Some(at) = next.filter(|at| *at <= until) else { break };
             self.now = self.now.max(at);
@@ -218,7 +222,9 @@
                 self.deliver(Event::TimerExpired(token));
                 continue;
             }
-            let due = |c: &TrackedCall| c.pending.as_ref().is_some_and(|o| !o.stands && o.times_out_at <= at);
+            let due = |c: &TrackedCall| {
+                c.current_attempt.as_ref().is_some_and(|o| !o.stands && o.times_out_at <= at)
+            };
             let id = self.calls.iter().find(|(_, c)| due(c)).map(|(id, _)| *id);
             if let Some(id) = id {
                 self.end_attempt(id, Outcome::TimedOut, Cause::Untold);
@@ -227,15 +233,15 @@
         self.now = self.now.max(until);
         for (id, c) in &self.calls {
             let overdue = self.now > c.request.deadline + self.settings.answer_slack;
-            assert!(c.answered || !overdue, "answer-in-time: no final answer for call {id}");
+            assert!(c.final_answer_given || !overdue, "answer-in-time: no final answer for call {id}");
         }
     }
 
     fn end_attempt(&mut self, id: CallId, outcome: Outcome, cause: Cause) {
         let c = self.calls.get_mut(&id).unwrap();
-        let Some(attempt) = c.pending.take() else { return };
-        let call_over = c.answered || outcome == Outcome::Completed || attempt.stands;
-        c.answered |= call_over;
+        let Some(attempt) = c.current_attempt.take() else { return };
+        let call_over = c.final_answer_given || outcome == Outcome::Completed || attempt.stands;
+        c.final_answer_given |= call_over;
         if matches!(outcome, Outcome::TimedOut | Outcome::Cut | Outcome::CalledOff) {
             c.released_at = self.now + self.settings.release_wait;
         }
@@ -275,8 +281,8 @@
                 let tracked = TrackedCall {
                     request: request.clone(),
                     attempts: 0,
-                    pending: None,
-                    answered: false,
+                    current_attempt: None,
+                    final_answer_given: false,
                     released_at: 0,
                     may_have_run: false,
                 };
@@ -284,15 +290,19 @@
                 self.deliver(Event::CallOffered(request));
             }
             Step::ProgressAttempt { pick, kind } => {
-                let pending: Vec<_> =
-                    self.calls.iter().filter(|(_, c)| c.pending.is_some()).map(|(id, _)| *id).collect();
-                let Some(&id) = pending.get(pick % pending.len().max(1)) else { return };
+                let with_attempt: Vec<_> = self
+                    .calls
+                    .iter()
+                    .filter(|(_, c)| c.current_attempt.is_some())
+                    .map(|(id, _)| *id)
+                    .collect();
+                let Some(&id) = with_attempt.get(pick % with_attempt.len().max(1)) else { return };
                 let c = self.calls.get_mut(&id).unwrap();
-                let (answered, o) = (c.answered, c.pending.as_mut().unwrap());
+                let (final_answer_given, o) = (c.final_answer_given, c.current_attempt.as_mut().unwrap());
                 match kind {
-                    0..=2 if !o.stands && !answered => {
+                    0..=2 if !o.stands && !final_answer_given => {
                         o.stands = true;
-                        c.answered = true;
+                        c.final_answer_given = true;
                         let attempt = o.attempt;
                         self.deliver(Event::CallStands { call: id, attempt, elapsed: 40 * MS });
                     }
@@ -329,25 +339,26 @@
                 let entries = if complete { (0..4).map(in_service).collect() } else { Vec::new() };
                 self.update_list(ListUpdate::Whole, entries);
             }
-            Step::HangUp { pick } => {
+            Step::CallerGivesUp { pick } => {
                 let waiting: Vec<_> =
-                    self.calls.iter().filter(|(_, c)| !c.answered).map(|(id, _)| *id).collect();
+                    self.calls.iter().filter(|(_, c)| !c.final_answer_given).map(|(id, _)| *id).collect();
                 let Some(&id) = waiting.get(pick % waiting.len().max(1)) else { return };
-                self.calls.get_mut(&id).unwrap().answered = true;
-                self.deliver(Event::CallerHungUp(id));
+                self.calls.get_mut(&id).unwrap().final_answer_given = true;
+                self.deliver(Event::CallerGaveUp(id));
             }
             Step::StaleEvents { call } => {
-                // Events for a call that is unknown or over have no effect.
-                let over = self.calls.get(&call).is_none_or(|c| c.answered && c.pending.is_none());
-                if over {
+                // Events for a call that is unknown or has ended have no effect.
+                let ended =
+                    self.calls.get(&call).is_none_or(|c| c.final_answer_given && c.current_attempt.is_none());
+                if ended {
                     let before = self.action_log.len();
-                    self.deliver(Event::CallerHungUp(call));
+                    self.deliver(Event::CallerGaveUp(call));
                     self.deliver(Event::CallStands { call, attempt: 0, elapsed: MS });
                     self.deliver(Event::TimerExpired(call));
                     assert_eq!(
                         self.action_log.len(),
                         before,
-                        "action in response to an event for an unknown or finished call"
+                        "action in response to an event for an unknown or ended call"
                     );
                 }
             }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -137,11 +137,11 @@
             }
         }
     }
-    assert!(stood > 80, "a retry has to reopen the route: {stood} of 120 calls stood");
+    assert!(stood > 80, "another set-up has to reopen the route: {stood} of 120 calls stood");
 }
 
 #[test]
-fn retries_slow_route_infrequently() {
+fn sends_few_set_ups_on_slow_route() {
     let mut harness = Harness::new(settings());
     harness.complete_round_trip(1, 2500 * MS);
     let mut sent = 0;
@@ -155,7 +155,7 @@
             harness.call_completed(call, 1);
         }
     }
-    assert!((2..=8).contains(&sent), "one retry per five delay targets: {sent}");
+    assert!((2..=8).contains(&sent), "one set-up per five delay targets: {sent}");
 }
 
 #[test]
@@ -337,7 +337,7 @@
         let mut harness = Harness::new(settings());
         harness.complete_round_trip(2, 100 * MS);
         harness.advance(10 * SEC);
-        // As in operation, timers of finished calls are still set, and one set-up is pending.
+        // As in operation, timers of ended calls are still set, and one set-up is pending.
         for _ in 0..40 {
             harness.complete_round_trip(1, 100 * MS);
         }
@@ -359,7 +359,7 @@
 /// After a pause, calls and list updates arrive in one batch. The list updates apply first, even behind the
 /// calls.
 #[test]
-fn decides_calls_after_list_updates_received_on_wake_up() {
+fn decides_calls_after_list_updates_received_after_pause() {
     let mut harness = Harness::new(settings());
     for _ in 0..40 {
         harness.complete_round_trip(1, 100 * MS);
@@ -557,7 +557,7 @@
     assert!(actions.contains(&Action::Fail(id)));
     assert!(
         harness.deliver(Event::TimerExpired(token)).is_empty(),
-        "the timer of a finished call has no effect"
+        "the timer of an ended call has no effect"
     );
 }
 
@@ -576,9 +576,12 @@
 
 #[test]
 fn sends_nothing_to_draining_or_gone_exchange() {
-    for standing in [ExchangeState::Draining, ExchangeState::Gone] {
+    for state in [ExchangeState::Draining, ExchangeState::Gone] {
         let mut harness = Harness::new(settings());
-        harness.deliver(Event::ListUpdated(ListUpdate::Changes, vec![Entry { standing, ..in_service(1) }]));
+        harness.deliver(Event::ListUpdated(
+            ListUpdate::Changes,
+            vec![Entry { standing: state, ..in_service(1) }],
+        ));
         let (id, actions) = harness.dial(1);
         assert_eq!((sent_to(&actions), final_answers(&actions, id)), (None, 1));
         harness.report_circuits(2, 0.0, 20.0);
@@ -658,7 +661,7 @@
 
 /// Calls were given up at the first failure although the exchange was failing three of four set-ups.
 #[test]
-fn retries_unexplained_failure_only_at_faulty_exchange() {
+fn attempts_again_after_unexplained_failure_only_at_faulty_exchange() {
     let mut harness = Harness::new(settings());
     let unexplained = (Outcome::Failed, Cause::Untold);
     let dial_and_fail = |harness: &mut Harness| {
@@ -670,7 +673,7 @@
     assert_eq!(final_answers(&actions, call), 1, "a single failure may be due to the call");
     dial_and_fail(&mut harness);
     let (call, actions) = dial_and_fail(&mut harness);
-    assert_eq!(sent_to(&actions), Some(1), "the exchange is at fault: retried");
+    assert_eq!(sent_to(&actions), Some(1), "the exchange is at fault: another attempt is sent");
     assert_eq!(
         final_answers(&harness.attempt_ended(call, 1, 1, (Outcome::Failed, Cause::NumberBusy)), call),
         1
@@ -680,7 +683,7 @@
     assert_eq!(final_answers(&actions, call), 1, "the exchange has recovered");
 }
 
-/// Callers refused without a retry-after time dialled again after a second or more, too late to be on time.
+/// Callers refused without a retry-after time redialled after a second or more, too late to be on time.
 #[test]
 fn refusal_carries_retry_after_time() {
     let retry_after = |harness: &mut Harness| match harness.dial(1).1.last() {
