--- a/dillhold/src/call/attempts.rs
+++ b/dillhold/src/call/attempts.rs
@@ -81,7 +81,7 @@
         let attempt = call.attempt_count;
         call.attempt_count += 1;
         let (exchange_number, standing) = machine.unwrap_or((u32::MAX, ExchangeState::Gone));
-        let is_allowed = call.awaits_answer
+        let is_allowed = call.awaits_final_answer
             && call.pending_attempt.is_none()
             && attempt < self.module_settings.max_attempts
             && now >= call.next_attempt_at
@@ -98,7 +98,7 @@
                 outcome: Outcome::NotSent,
                 cause: Cause::Untold,
                 elapsed: 0,
-                call_over: !call.awaits_answer,
+                call_over: !call.awaits_final_answer,
                 report: LoadReport::default(),
             });
         }
@@ -153,7 +153,7 @@
             outcome,
             cause,
             elapsed: now - ended_attempt.sent_at,
-            call_over: !call.awaits_answer,
+            call_over: !call.awaits_final_answer,
             report,
         });
     }
--- a/dillhold/src/call/messages.rs
+++ b/dillhold/src/call/messages.rs
@@ -169,8 +169,8 @@
     AttemptTimeout(u64, CallId, u32),
     /// Fail a call that still awaits its final answer; holds the call's id and handle.
     FinalAnswer(u64, CallId),
-    /// End the calls on a machine that is gone: the window for its own releases has passed.
-    ExchangeRemoval(ExchangeId),
+    /// End the calls on a machine whose process has ended: the window for its own releases has passed.
+    MachineEnded(ExchangeId),
     /// Close the measurement interval.
     IntervalEnd,
     /// Discard expired ids of ended calls.
--- a/dillhold/src/call/mod.rs
+++ b/dillhold/src/call/mod.rs
@@ -2,10 +2,10 @@
 //! [`Event`]s of the decision module, and its [`Action`]s become [`Command`]s that are independent of any
 //! wire format.
 //!
-//! The decision module chooses routes and answers. The table enforces the rules that the module cannot check:
-//! one pending attempt per call, the maximum number of attempts, the wait after an attempt that may still
-//! hold circuits, the destinations allowed for a call, and exactly one final answer before the caller's
-//! timeout.
+//! The decision module chooses routes and answers. The table enforces these rules independently of the
+//! module: one pending attempt per call, the maximum number of attempts, the wait after an attempt that may
+//! still hold circuits, no attempt to an exchange that drains or is gone or that the call must not go to, and
+//! exactly one final answer before the caller's timeout.
 
 mod attempts;
 mod messages;
@@ -31,10 +31,11 @@
 
 /// Largest timeout accepted in a set-up, as a multiple of the deadline of its class.
 const MAX_TIMEOUT_IN_DEADLINES: u64 = 2;
-/// How long releases of a machine are still accepted after the journal reported it gone. A machine that stops
-/// after a drain may leave its connections open without releasing its calls. The journal reports up to 7 s
-/// late, and the calls have to be released towards their callers within 8 s of their end.
-const GONE_MACHINE_RELEASE_WINDOW: Nanos = 250 * MS;
+/// How long releases of a machine are still accepted after the journal reported that its process ended, as it
+/// is gone or was restarted. A machine that stops after a drain may leave its connections open without
+/// releasing its calls. The journal reports up to 7 s late, and the calls have to be released towards their
+/// callers within 8 s of their end.
+const ENDED_MACHINE_RELEASE_WINDOW: Nanos = 250 * MS;
 /// Q.850 cause 41, temporary failure: the call was cut.
 const CAUSE_TEMPORARY_FAILURE: u8 = 41;
 
@@ -70,14 +71,14 @@
     in_transit: bool,
     /// When the final answer is due.
     deadline: Nanos,
-    /// Attempts sent so far, including those that were not allowed.
+    /// Attempts that the decision module has requested, including those that were not allowed.
     attempt_count: u32,
     pending_attempt: Option<Attempt>,
     /// The attempt that was answered; set while the call stands.
     answered_attempt: Option<Attempt>,
     stands_since: Nanos,
     /// Whether the caller still awaits a final answer.
-    awaits_answer: bool,
+    awaits_final_answer: bool,
     /// No attempt may be sent before this time.
     next_attempt_at: Nanos,
 }
@@ -100,7 +101,7 @@
     /// Ids of the set-ups that await a final answer on it.
     open_set_ups: BTreeSet<u64>,
     /// Number of standing calls that were set up on it.
-    standing_calls: usize,
+    standing_count: usize,
 }
 
 /// The call table, together with the decision module.
@@ -129,7 +130,7 @@
     /// Number of set-ups that await a final answer.
     open_set_ups: usize,
     /// Number of standing calls by exchange; an exchange without any has no entry.
-    standing_calls: HashMap<ExchangeId, usize>,
+    standing_by_exchange: HashMap<ExchangeId, usize>,
     /// Set during shutdown: every set-up has its final answer by this time.
     answer_by: Option<Nanos>,
     /// Whether new set-ups are refused because the process is shutting down.
@@ -173,7 +174,7 @@
             intervals: VecDeque::new(),
             next_handle: 0,
             open_set_ups: 0,
-            standing_calls: HashMap::new(),
+            standing_by_exchange: HashMap::new(),
             answer_by: None,
             refuses_set_ups: false,
             group_states: HashMap::new(),
@@ -239,7 +240,7 @@
         let fail_at = answer_by.saturating_sub(self.module_settings.tick / 2);
         let mut open: Vec<(u64, CallId)> = Vec::new();
         for (id, call) in
-            self.calls_by_id.iter_mut().filter(|(_, c)| c.awaits_answer && c.deadline > answer_by)
+            self.calls_by_id.iter_mut().filter(|(_, c)| c.awaits_final_answer && c.deadline > answer_by)
         {
             call.deadline = answer_by;
             open.push((*id, call.handle));
@@ -278,7 +279,7 @@
     fn update_connection(&mut self, conn: CallerConnId, update: impl FnOnce(&mut ConnectionCalls)) {
         let calls = self.calls_by_connection.entry(conn).or_default();
         update(calls);
-        if calls.open_set_ups.is_empty() && calls.standing_calls == 0 {
+        if calls.open_set_ups.is_empty() && calls.standing_count == 0 {
             self.calls_by_connection.remove(&conn);
         }
     }
@@ -315,11 +316,13 @@
     }
 
     /// Fails a set-up with the id of a call that is open or stands. If it came on the connection of that
-    /// call, the caller cannot tell which of the two an answer is for: the call is ended, and one answer
-    /// serves both.
+    /// call, the caller cannot tell which of the two an answer is for, so the existing call is ended too, and
+    /// the one failure answers both set-ups.
     fn reject_duplicate_id(&mut self, now: Nanos, conn: CallerConnId, id: u64) -> bool {
-        let Some(known) =
-            self.calls_by_id.get(&id).map(|c| (c.caller_conn == conn, c.awaits_answer, c.answered_attempt))
+        let Some(known) = self
+            .calls_by_id
+            .get(&id)
+            .map(|c| (c.caller_conn == conn, c.awaits_final_answer, c.answered_attempt))
         else {
             return false;
         };
@@ -348,7 +351,7 @@
         // The id of an answered call is not reused: a late message for that call would be attributed to the
         // new one.
         let (Some(class), false) =
-            (class.filter(accepts_timeout), self.ended_calls.had_final_answer(set_up.call_id))
+            (class.filter(accepts_timeout), self.ended_calls.is_retired(set_up.call_id))
         else {
             self.reject_invalid_set_up(conn, set_up.call_id);
             return false;
@@ -407,7 +410,7 @@
                 pending_attempt: None,
                 answered_attempt: None,
                 stands_since: now,
-                awaits_answer: true,
+                awaits_final_answer: true,
                 next_attempt_at: now,
             },
         );
@@ -460,7 +463,7 @@
             }
             return !unknown;
         };
-        if call.awaits_answer {
+        if call.awaits_final_answer {
             self.counters.increment("taken set-ups given up");
             self.abandon_call(now, id, true);
         } else if let Some(attempt) = call.answered_attempt {
@@ -474,7 +477,7 @@
     /// Removes an open set-up after its caller has left, or after it was answered without the decision
     /// module. With `retire_id`, the id is not accepted again for a while.
     fn abandon_call(&mut self, now: Nanos, id: u64, retire_id: bool) {
-        if let Some(handle) = self.mark_answered(id) {
+        if let Some(handle) = self.mark_final_answer_given(id) {
             self.dispatch_event(now, Event::CallerGaveUp(handle));
             self.cancel_attempt(now, id, Outcome::CalledOff);
             self.remove_call(now, id, retire_id);
@@ -549,9 +552,9 @@
         }
         (call.called_number, call.description) = (Vec::new(), Vec::new());
         let (handle, conn) = (call.handle, call.caller_conn);
-        self.mark_answered(id);
-        self.update_connection(conn, |calls| calls.standing_calls += 1);
-        let standing_calls = self.standing_calls.entry(attempt.exchange).or_default();
+        self.mark_final_answer_given(id);
+        self.update_connection(conn, |calls| calls.standing_count += 1);
+        let standing_calls = self.standing_by_exchange.entry(attempt.exchange).or_default();
         *standing_calls += 1;
         if *standing_calls == 1 {
             self.commands.push_back(Command::StartLivenessChecks(attempt.exchange));
@@ -574,9 +577,9 @@
             }
             self.dispatch_event(now, Event::ListUpdated(kind, entries));
         }
-        for exchange in update.ended_exchanges {
+        for exchange in update.ended_machines {
             self.commands.push_back(Command::WithdrawSetUps(exchange));
-            self.deadlines.add(now + GONE_MACHINE_RELEASE_WINDOW, Deadline::ExchangeRemoval(exchange));
+            self.deadlines.add(now + ENDED_MACHINE_RELEASE_WINDOW, Deadline::MachineEnded(exchange));
         }
         self.commands.push_back(Command::UpdateLinks);
     }
@@ -593,19 +596,19 @@
                 }
             }
             Deadline::FinalAnswer(id, handle) => {
-                if self.calls_by_id.get(&id).is_some_and(|c| c.awaits_answer && c.handle == handle) {
+                if self.calls_by_id.get(&id).is_some_and(|c| c.awaits_final_answer && c.handle == handle) {
                     self.counters.increment("errors answers overdue");
                     let conn = self.calls_by_id[&id].caller_conn;
                     self.notify_caller(Some(conn), id, CallerNotification::Failed);
                     self.abandon_call(now, id, true);
                 }
             }
-            Deadline::ExchangeRemoval(exchange) => {
+            Deadline::MachineEnded(exchange) => {
                 let machine = self.directory.machine(exchange);
                 // If the machine was restarted, only the calls from before its restart have ended.
                 let restarted = machine.filter(|m| m.standing != ExchangeState::Gone);
                 let sent_before = restarted.map_or(Nanos::MAX, |m| m.started_at.unwrap_or(0));
-                self.exchange_ended(now, exchange, sent_before);
+                self.cut_calls_of_exchange(now, exchange, sent_before);
                 if sent_before == Nanos::MAX {
                     self.commands.push_back(Command::RemoveExchange(exchange));
                 }
@@ -674,7 +677,8 @@
 
     fn give_final_answer(&mut self, now: Nanos, handle: CallId, answer: CallerNotification) {
         let Some(id) = self.ids_by_handle.get(&handle).copied() else { return };
-        let Some(conn) = self.calls_by_id.get(&id).filter(|c| c.awaits_answer).map(|c| c.caller_conn) else {
+        let Some(conn) = self.calls_by_id.get(&id).filter(|c| c.awaits_final_answer).map(|c| c.caller_conn)
+        else {
             return;
         };
         tracing::debug!(call = format_args!("{id:016x}"), answer = ?answer, "final answer");
@@ -684,7 +688,7 @@
             "answered refused"
         });
         self.notify_caller(Some(conn), id, answer);
-        self.mark_answered(id);
+        self.mark_final_answer_given(id);
         self.cancel_attempt(now, id, Outcome::CalledOff);
         self.remove_call(now, id, true);
     }
@@ -698,9 +702,9 @@
     }
 
     /// Marks a call as no longer awaiting a final answer. Returns its handle if it did until now.
-    fn mark_answered(&mut self, id: u64) -> Option<CallId> {
-        let call = self.calls_by_id.get_mut(&id).filter(|c| c.awaits_answer)?;
-        call.awaits_answer = false;
+    fn mark_final_answer_given(&mut self, id: u64) -> Option<CallId> {
+        let call = self.calls_by_id.get_mut(&id).filter(|c| c.awaits_final_answer)?;
+        call.awaits_final_answer = false;
         let (conn, handle) = (call.caller_conn, call.handle);
         self.open_set_ups -= 1;
         self.open_bytes -= call.set_up_bytes;
@@ -717,7 +721,7 @@
             }
             self.ids_by_handle.remove(&call.handle);
             if let Some(attempt) = call.answered_attempt {
-                self.update_connection(call.caller_conn, |calls| calls.standing_calls -= 1);
+                self.update_connection(call.caller_conn, |calls| calls.standing_count -= 1);
                 self.decrement_standing_calls(attempt.exchange);
             }
             self.remember_ended_call(now, id, retire_id);
--- a/dillhold/src/call/recent.rs
+++ b/dillhold/src/call/recent.rs
@@ -18,14 +18,15 @@
     max_calls: usize,
     /// When each call ended and its id, oldest first.
     by_age: VecDeque<(Nanos, u64)>,
-    /// Whether each call had its final answer; if not, its caller disconnected and may send the set-up again.
-    answered_by_id: HashMap<u64, bool>,
+    /// Whether a set-up with this id is rejected; false only if the caller's connection was lost, as the
+    /// caller may send the set-up again.
+    retired_by_id: HashMap<u64, bool>,
 }
 
 impl EndedCalls {
     /// Creates an empty record of at most `max_calls` calls; the oldest are evicted first.
     pub fn new(max_calls: usize) -> EndedCalls {
-        EndedCalls { max_calls, by_age: VecDeque::new(), answered_by_id: HashMap::new() }
+        EndedCalls { max_calls, by_age: VecDeque::new(), retired_by_id: HashMap::new() }
     }
 
     /// Sets the largest number of calls to remember. Takes effect with the next insertion.
@@ -34,23 +35,23 @@
     }
 
     /// Records the end of a call.
-    pub fn insert(&mut self, now: Nanos, call_id: u64, answered: bool) {
+    pub fn insert(&mut self, now: Nanos, call_id: u64, retired: bool) {
         while self.by_age.len() >= self.max_calls {
-            self.by_age.pop_front().and_then(|(_, call_id)| self.answered_by_id.remove(&call_id));
+            self.by_age.pop_front().and_then(|(_, call_id)| self.retired_by_id.remove(&call_id));
         }
-        if self.answered_by_id.insert(call_id, answered).is_none() {
+        if self.retired_by_id.insert(call_id, retired).is_none() {
             self.by_age.push_back((now, call_id));
         }
     }
 
     /// Whether this call ended recently.
     pub fn contains(&self, call_id: u64) -> bool {
-        self.answered_by_id.contains_key(&call_id)
+        self.retired_by_id.contains_key(&call_id)
     }
 
-    /// Whether this call ended recently with a final answer, so that a set-up must not reuse its id.
-    pub fn had_final_answer(&self, call_id: u64) -> bool {
-        self.answered_by_id.get(&call_id).is_some_and(|answered| *answered)
+    /// Whether this call ended recently and a set-up must not reuse its id.
+    pub fn is_retired(&self, call_id: u64) -> bool {
+        self.retired_by_id.get(&call_id).is_some_and(|retired| *retired)
     }
 
     /// When the oldest entry expires.
@@ -61,7 +62,7 @@
     /// Removes expired entries.
     pub fn remove_expired(&mut self, now: Nanos) {
         while self.next_expiry().is_some_and(|expiry| expiry <= now) {
-            self.by_age.pop_front().and_then(|(_, call_id)| self.answered_by_id.remove(&call_id));
+            self.by_age.pop_front().and_then(|(_, call_id)| self.retired_by_id.remove(&call_id));
         }
     }
 }
@@ -135,8 +136,8 @@
             [
                 ended_calls.contains(1),
                 ended_calls.contains(2),
-                ended_calls.had_final_answer(2),
-                ended_calls.had_final_answer(3)
+                ended_calls.is_retired(2),
+                ended_calls.is_retired(3)
             ],
             [false, true, false, true]
         );
--- a/dillhold/src/call/standing.rs
+++ b/dillhold/src/call/standing.rs
@@ -61,9 +61,9 @@
         calls
     }
 
-    /// Ends the calls that stand on an exchange whose process has terminated, if they were sent before a
-    /// time.
-    pub fn exchange_ended(&mut self, now: Nanos, exchange: ExchangeId, sent_before: Nanos) {
+    /// Ends the calls that an exchange has lost, as its process ended: those that stand there and were sent
+    /// before a time.
+    pub fn cut_calls_of_exchange(&mut self, now: Nanos, exchange: ExchangeId, sent_before: Nanos) {
         for (id, conn) in self.standing_calls_sent_before(exchange, sent_before) {
             self.cut_standing_call(now, id, conn);
         }
@@ -71,7 +71,7 @@
 
     /// Ends all calls that stand on an exchange presumed dead. The exchange may only be unreachable, so
     /// releases are queued for it as well.
-    pub fn exchange_vanished(&mut self, now: Nanos, exchange: ExchangeId) {
+    pub fn cut_and_release_calls_of_exchange(&mut self, now: Nanos, exchange: ExchangeId) {
         for (id, conn) in self.standing_calls_sent_before(exchange, Nanos::MAX) {
             self.request_exchange(exchange, id, ExchangeRequest::Release(CAUSE_TEMPORARY_FAILURE));
             self.cut_standing_call(now, id, conn);
@@ -87,11 +87,11 @@
 
     /// Number of calls that stand on an exchange.
     pub fn standing_calls_at(&self, exchange: ExchangeId) -> usize {
-        self.standing_calls.get(&exchange).copied().unwrap_or(0)
+        self.standing_by_exchange.get(&exchange).copied().unwrap_or(0)
     }
 
     pub(super) fn decrement_standing_calls(&mut self, exchange: ExchangeId) {
-        if let Entry::Occupied(mut count) = self.standing_calls.entry(exchange) {
+        if let Entry::Occupied(mut count) = self.standing_by_exchange.entry(exchange) {
             *count.get_mut() -= 1;
             if *count.get() == 0 {
                 count.remove();
--- a/dillhold/src/directory.rs
+++ b/dillhold/src/directory.rs
@@ -12,7 +12,7 @@
 
 use crate::clock::MS;
 
-/// Time that messages may take on sockets: every time limit of the rules is longer by it. The release wait,
+/// Time that messages may take on sockets. The limits that the rehearsals check include it. The release wait,
 /// after an attempt that may still hold circuits, is extended by the same time, as the message that ends the
 /// attempt takes that long to arrive.
 pub const SOCKET_DELAY_ALLOWANCE: Nanos = 50 * MS;
@@ -194,7 +194,7 @@
     /// List events for the decision module, in order.
     pub lists: Vec<(ListUpdate, Vec<Entry>)>,
     /// Machines whose process has ended: they left the list or were restarted.
-    pub ended_exchanges: Vec<ExchangeId>,
+    pub ended_machines: Vec<ExchangeId>,
 }
 
 fn parse_zones(settings: &Value) -> Vec<String> {
@@ -280,7 +280,7 @@
             for (id, machine) in &mut self.machines {
                 if machine.standing != ExchangeState::Gone && !is_listed(&machine.uid) {
                     machine.standing = ExchangeState::Gone;
-                    update.ended_exchanges.push(*id);
+                    update.ended_machines.push(*id);
                 }
             }
         }
@@ -301,7 +301,7 @@
         if let Some(previous) = self.machines.get(&id) {
             let has_left = standing == ExchangeState::Gone && previous.standing != ExchangeState::Gone;
             if has_left || previous.started_at != started_at {
-                update.ended_exchanges.push(id);
+                update.ended_machines.push(id);
             }
         }
         let number = host.pod_group;
@@ -352,9 +352,9 @@
         let update = directory.apply(answer(&[(1, false, events), (2, false, events)])).unwrap();
         assert_eq!(update.lists.len(), 1, "a known event is not applied again");
         assert_eq!(update.lists[0].1[1].since, Some(1_796_136_102_515_000_000));
-        assert_eq!(update.ended_exchanges, vec![1]);
+        assert_eq!(update.ended_machines, vec![1]);
         let events: &[_] = &[("s-1", "DELETED", 0), ("s-7", "DELETED", 0)];
-        assert_eq!(directory.apply(answer(&[(3, false, events)])).unwrap().ended_exchanges, vec![0]);
+        assert_eq!(directory.apply(answer(&[(3, false, events)])).unwrap().ended_machines, vec![0]);
         directory.remove_gone(0);
         assert_eq!(directory.machines().map(|(id, _)| id).collect::<Vec<_>>(), vec![1]);
     }
@@ -366,7 +366,7 @@
         assert!(directory.apply(answer(&[(4, false, only_first)])).is_err());
         assert_eq!(directory.position, 0);
         let update = directory.apply(answer(&[(1, true, only_first), (2, false, only_first)])).unwrap();
-        assert_eq!((update.lists[0].0, update.ended_exchanges), (ListUpdate::Whole, vec![1]));
+        assert_eq!((update.lists[0].0, update.ended_machines), (ListUpdate::Whole, vec![1]));
         assert_eq!(directory.position, 2);
     }
 }
--- a/dillhold/src/engine/exchanges.rs
+++ b/dillhold/src/engine/exchanges.rs
@@ -189,7 +189,7 @@
         }
         self.calls.exchange_disconnected(self.now, id, &unsent);
         if process_ended {
-            self.calls.exchange_ended(self.now, id, Nanos::MAX);
+            self.calls.cut_calls_of_exchange(self.now, id, Nanos::MAX);
         }
     }
 
--- a/dillhold/src/engine/mod.rs
+++ b/dillhold/src/engine/mod.rs
@@ -441,7 +441,7 @@
         tracing::info!(conn = conn_id, ?reason, "writing side closed");
         conn.write_closed = true;
         if let Peer::Caller(caller) = &mut conn.peer {
-            caller.acknowledge_releases();
+            caller.forget_unacked_releases();
         }
         self.outputs.push_back(Output::ShutdownWrite(conn_id));
         self.calls.deadlines.add(
--- a/dillhold/src/session/caller.rs
+++ b/dillhold/src/session/caller.rs
@@ -32,7 +32,8 @@
 /// State of one connection.
 #[derive(Debug, Default)]
 pub struct CallerSession {
-    /// Whether a call was answered on it, which shows that there is a caller at the other end.
+    /// Whether an answer was sent on it. Only a real caller gets one; other clients merely connect or send
+    /// tests.
     pub confirmed: bool,
     /// Whether any notification was sent on it.
     pub notified: bool,
@@ -101,9 +102,9 @@
         self.rejected_messages == 0 && self.read_buffer.unread().is_empty()
     }
 
-    /// Treats all releases as acknowledged: the connection is closed in an orderly way, so everything written
-    /// to it arrives.
-    pub fn acknowledge_releases(&mut self) {
+    /// Discards the record of unacknowledged releases: the connection is closed in an orderly way, so
+    /// everything written to it arrives.
+    pub fn forget_unacked_releases(&mut self) {
         self.unacked_releases.clear();
     }
 
--- a/dillhold/src/session/exchange.rs
+++ b/dillhold/src/session/exchange.rs
@@ -106,7 +106,8 @@
                     write_request(out, "CANCEL", "sip:call@net", id, attempt + 1, format_args!(""), b"");
                 }
             }
-            // Any client can name calls that do not exist; their releases must not displace other requests.
+            // Dropped when much is pending: any client can send releases of calls that do not exist, and they
+            // must not crowd out other requests.
             ExchangeRequest::ReleaseUnknown(_)
                 if self.write_buffer.pending().len() > MAX_PENDING_BYTES / 2 => {}
             ExchangeRequest::ReleaseUnknown(cause) => self.write_release(id, *cause),
--- a/dillhold/src/session/journal.rs
+++ b/dillhold/src/session/journal.rs
@@ -6,8 +6,8 @@
 use crate::directory::JournalAnswer;
 use crate::session::{ReadBuffer, WriteBuffer};
 
-/// How long the service may delay an answer. It also delays the detection of a silent connection, and is
-/// short enough to leave time for another poll before missed events count as received.
+/// How long the service may delay an answer. A longer delay would detect a silent connection later; this one
+/// leaves time for one more poll before an update counts as known to the controller.
 pub const LONG_POLL_MS: u64 = 2_000;
 
 /// State of one connection.
