--- a/dillhold/src/call/attempts.rs
+++ b/dillhold/src/call/attempts.rs
@@ -76,17 +76,17 @@
 
     pub(super) fn send_attempt(&mut self, now: Nanos, handle: CallId, to: ExchangeId, timeout: Nanos) {
         let Some(id) = self.ids_by_handle.get(&handle).copied() else { return };
-        let machine = self.directory.machine(to).map(|m| (m.number, m.standing));
+        let machine = self.directory.machine(to).map(|m| (m.number, m.state));
         let Some(call) = self.calls_by_id.get_mut(&id) else { return };
         let attempt = call.attempt_count;
         call.attempt_count += 1;
-        let (exchange_number, standing) = machine.unwrap_or((u32::MAX, ExchangeState::Gone));
+        let (exchange_number, state) = machine.unwrap_or((u32::MAX, ExchangeState::Gone));
         let is_allowed = call.awaits_final_answer
             && call.pending_attempt.is_none()
             && attempt < self.module_settings.max_attempts
             && now >= call.next_attempt_at
             && now < call.deadline
-            && standing == ExchangeState::Up
+            && state == ExchangeState::Up
             && Some(exchange_number) != self.module_settings.home_exchange
             && (!call.in_transit || exchange_number == call.destination);
         if !is_allowed {
--- a/dillhold/src/call/mod.rs
+++ b/dillhold/src/call/mod.rs
@@ -329,7 +329,7 @@
         self.counters.increment("taken set-ups twice");
         self.notify_caller(Some(conn), id, CallerNotification::Failed);
         match known {
-            (true, true, _) => self.abandon_call(now, id, true),
+            (true, true, _) => self.end_open_set_up(now, id, true),
             (true, false, Some(attempt)) => {
                 self.request_exchange(attempt.exchange, id, ExchangeRequest::Release(16));
                 self.end_standing_call(now, id, Outcome::CalledOff);
@@ -465,7 +465,7 @@
         };
         if call.awaits_final_answer {
             self.counters.increment("taken set-ups given up");
-            self.abandon_call(now, id, true);
+            self.end_open_set_up(now, id, true);
         } else if let Some(attempt) = call.answered_attempt {
             self.counters.increment("taken releases from callers");
             self.request_exchange(attempt.exchange, id, ExchangeRequest::Release(cause));
@@ -474,9 +474,9 @@
         true
     }
 
-    /// Removes an open set-up after its caller has left, or after it was answered without the decision
+    /// Removes an open set-up after its caller gave up, or after it was answered without the decision
     /// module. With `retire_id`, the id is not accepted again for a while.
-    fn abandon_call(&mut self, now: Nanos, id: u64, retire_id: bool) {
+    fn end_open_set_up(&mut self, now: Nanos, id: u64, retire_id: bool) {
         if let Some(handle) = self.mark_final_answer_given(id) {
             self.dispatch_event(now, Event::CallerGaveUp(handle));
             self.cancel_attempt(now, id, Outcome::CalledOff);
@@ -484,13 +484,13 @@
         }
     }
 
-    /// Abandons the open set-ups of a caller's connection that was closed.
+    /// Ends the open set-ups of a caller's connection that was closed.
     pub fn caller_disconnected(&mut self, now: Nanos, conn: CallerConnId) {
         let open_set_ups = self.calls_by_connection.get(&conn).map(|calls| calls.open_set_ups.clone());
         for id in open_set_ups.unwrap_or_default() {
             self.counters.increment("errors set-ups lost with their caller");
             // A set-up that crossed the close may be sent again on another connection.
-            self.abandon_call(now, id, false);
+            self.end_open_set_up(now, id, false);
         }
     }
 
@@ -572,6 +572,7 @@
         for (kind, entries) in update.lists {
             tracing::info!(?kind, ?entries, "list of exchanges");
             self.counters.increment("taken lists");
+            // Set-ups that wait to be written are not sent to an exchange that drains or is gone.
             for entry in entries.iter().filter(|e| e.standing != ExchangeState::Up) {
                 self.commands.push_back(Command::WithdrawSetUps(entry.exchange));
             }
@@ -600,13 +601,13 @@
                     self.counters.increment("errors answers overdue");
                     let conn = self.calls_by_id[&id].caller_conn;
                     self.notify_caller(Some(conn), id, CallerNotification::Failed);
-                    self.abandon_call(now, id, true);
+                    self.end_open_set_up(now, id, true);
                 }
             }
             Deadline::MachineEnded(exchange) => {
                 let machine = self.directory.machine(exchange);
                 // If the machine was restarted, only the calls from before its restart have ended.
-                let restarted = machine.filter(|m| m.standing != ExchangeState::Gone);
+                let restarted = machine.filter(|m| m.state != ExchangeState::Gone);
                 let sent_before = restarted.map_or(Nanos::MAX, |m| m.started_at.unwrap_or(0));
                 self.cut_calls_of_exchange(now, exchange, sent_before);
                 if sent_before == Nanos::MAX {
--- a/dillhold/src/directory.rs
+++ b/dillhold/src/directory.rs
@@ -1,7 +1,8 @@
 //! The configuration, the settings and the list of exchanges.
 //!
 //! The journal events in the configuration (`known`) and those received later (`/journal`) are applied in the
-//! same way.
+//! same way. An `ExchangeId` identifies a machine; `number` is the number of its exchange, which several
+//! machines may share.
 
 use std::collections::BTreeMap;
 
@@ -182,7 +183,7 @@
     /// Number of its exchange.
     pub number: u32,
     /// Its state in the journal.
-    pub standing: ExchangeState,
+    pub state: ExchangeState,
     /// When it started; `None` if that was long ago or is unknown.
     pub started_at: Option<Nanos>,
     uid: String,
@@ -244,7 +245,7 @@
 
     /// Removes a machine if it has left the list.
     pub fn remove_gone(&mut self, id: ExchangeId) {
-        self.machines.retain(|other, m| *other != id || m.standing != ExchangeState::Gone);
+        self.machines.retain(|other, m| *other != id || m.state != ExchangeState::Gone);
     }
 
     /// Applies an answer from the journal. An error means that events are missing between the last position
@@ -278,8 +279,8 @@
         if hosts.all {
             let is_listed = |uid: &str| hosts.targets.iter().any(|h| h.uid == uid);
             for (id, machine) in &mut self.machines {
-                if machine.standing != ExchangeState::Gone && !is_listed(&machine.uid) {
-                    machine.standing = ExchangeState::Gone;
+                if machine.state != ExchangeState::Gone && !is_listed(&machine.uid) {
+                    machine.state = ExchangeState::Gone;
                     update.ended_machines.push(*id);
                 }
             }
@@ -293,24 +294,24 @@
         let id = known_id.unwrap_or(self.next_id);
         self.next_id = self.next_id.max(id + 1);
         let started_at = Some(host.boot_ms * MS).filter(|t| *t > 0);
-        let standing = match host.state {
+        let state = match host.state {
             HostState::Serving => ExchangeState::Up,
             HostState::Draining => ExchangeState::Draining,
             HostState::Deleted => ExchangeState::Gone,
         };
         if let Some(previous) = self.machines.get(&id) {
-            let has_left = standing == ExchangeState::Gone && previous.standing != ExchangeState::Gone;
+            let has_left = state == ExchangeState::Gone && previous.state != ExchangeState::Gone;
             if has_left || previous.started_at != started_at {
                 update.ended_machines.push(id);
             }
         }
         let number = host.pod_group;
         let zone = self.zones.iter().position(|z| *z == host.az).unwrap_or(self.zones.len()) as u32;
-        if known_id.is_some() || standing != ExchangeState::Gone {
+        if known_id.is_some() || state != ExchangeState::Gone {
             let (address, uid) = (host.endpoint, host.uid);
-            self.machines.insert(id, Machine { address, number, standing, started_at, uid });
+            self.machines.insert(id, Machine { address, number, state, started_at, uid });
         }
-        Entry { exchange: id, number, zone, since: started_at, standing }
+        Entry { exchange: id, number, zone, since: started_at, standing: state }
     }
 }
 
--- a/dillhold/src/engine/exchanges.rs
+++ b/dillhold/src/engine/exchanges.rs
@@ -80,7 +80,7 @@
     pub(super) fn update_links(&mut self) {
         let home_exchange = self.calls.settings().module.home_exchange;
         let listed = self.calls.directory.machines().filter(|(_, m)| Some(m.number) != home_exchange);
-        let listed: Vec<_> = listed.map(|(id, m)| (id, m.address, m.standing)).collect();
+        let listed: Vec<_> = listed.map(|(id, m)| (id, m.address, m.state)).collect();
         for (id, address, state) in listed {
             let link = self.links.get(&id);
             if state == ExchangeState::Gone {
--- a/dillhold/src/session/caller.rs
+++ b/dillhold/src/session/caller.rs
@@ -10,7 +10,7 @@
 use crate::codec::{parse_attributes, ParseError, MAX_MESSAGE_BYTES};
 use crate::session::{process_messages, ReadBuffer, WriteBuffer};
 
-/// Q.850 cause 42, switching equipment congestion: the set-up was refused and can be retried safely.
+/// Q.850 cause 42, switching equipment congestion: the set-up was refused, and the caller may redial.
 const CAUSE_CONGESTION: u8 = 42;
 /// Q.850 cause 41, temporary failure: the set-up failed.
 const CAUSE_TEMPORARY_FAILURE: u8 = 41;
