--- a/rehearsal/src/script.rs
+++ b/rehearsal/src/script.rs
@@ -133,13 +133,13 @@
         use_at_plan: Share = Share(0.85),
         /// Work of examining a call, also if it is refused.
         look: Amount = Amount(0.22),
-        /// Work of turning a set-up away.
+        /// Work of rejecting a set-up.
         refusal: Amount = Amount(0.2),
         /// Work of a retransmitted set-up.
         repeat: Amount = Amount(0.45),
         /// Work of an answer, and of a release.
         answer: Amount = Amount(0.37),
-        /// Set-ups are turned away while the queueing delay is longer than this, in seconds.
+        /// Set-ups are rejected while the queueing delay is longer than this, in seconds.
         turn_away: Factor = Factor(3.0),
         /// Time in seconds after which an unprocessed set-up is first retransmitted; the interval then doubles each
         /// time. 0 disables retransmission.
@@ -191,7 +191,7 @@
 }
 
 section! {
-    /// The node register, which each controller sees as a journal service.
+    /// The journal services, one for each controller.
     Journal {
         /// Range of the delay in seconds until it reports an announced drain or stop.
         notice: [Seconds; 2] = [Seconds(0.63), Seconds(4.4)],
@@ -445,7 +445,7 @@
     /// Delays between nodes.
     #[serde(default)]
     pub network: Network,
-    /// The node register.
+    /// The journal services.
     #[serde(default)]
     pub journal: Journal,
     /// The centre's route advice.
--- a/rehearsal/src/virtual_clock.rs
+++ b/rehearsal/src/virtual_clock.rs
@@ -146,14 +146,14 @@
 enum Delivery {
     /// For a controller, unless it has been restarted since, which increments the generation.
     Inbound {
-        host: usize,
+        controller_index: usize,
         generation: u32,
         inbound: Inbound,
     },
     Bytes(SimConnectionId, Vec<u8>),
     Closed(SimConnectionId),
     ConnectRequested {
-        host: usize,
+        controller_index: usize,
         generation: u32,
         conn: ConnId,
         endpoint: Endpoint,
@@ -162,7 +162,7 @@
 
 /// A controller with its connections and its next turn.
 #[derive(Default)]
-struct ControllerHost {
+struct ControllerSlot {
     controller: Option<Box<dyn Controller>>,
     /// Incremented at each start and stop, so that deliveries to an earlier controller are dropped.
     generation: u32,
@@ -179,8 +179,8 @@
 struct VirtualClock<'a> {
     now: Nanos,
     world: World,
-    hosts: Vec<ControllerHost>,
-    /// Scheduled turns: time and host.
+    slots: Vec<ControllerSlot>,
+    /// Scheduled turns: time and controller index.
     turns: BTreeSet<(Nanos, usize)>,
     /// Pending deliveries. All have the same delay, so they arrive in the order in which they were sent.
     deliveries: VecDeque<(Nanos, Delivery)>,
@@ -190,12 +190,12 @@
 
 /// Runs a world to its end. Also returns the measurement intervals of the controllers.
 pub fn run(world: World, create_controller: ControllerFactory<'_>) -> Result<(World, Vec<Interval>), String> {
-    let hosts = (0..world.controller_count()).map(|_| ControllerHost::default()).collect();
+    let slots = (0..world.controller_count()).map(|_| ControllerSlot::default()).collect();
     let (turns, deliveries) = (BTreeSet::new(), VecDeque::new());
     let mut clock = VirtualClock {
         now: START_TIME,
         world,
-        hosts,
+        slots,
         turns,
         deliveries,
         create_controller,
@@ -206,7 +206,7 @@
     let end_time = clock.world.end_time();
     clock.world.advance(end_time);
     clock.world.finalize();
-    for controller in clock.hosts.iter_mut().filter_map(|host_state| host_state.controller.as_mut()) {
+    for controller in clock.slots.iter_mut().filter_map(|slot| slot.controller.as_mut()) {
         controller.begin_turn(end_time);
         clock.intervals.extend(std::iter::from_fn(|| controller.poll_interval(true)));
     }
@@ -232,10 +232,10 @@
         }
         self.world.advance(self.now);
         self.perform_actions()?;
-        while let Some(&(at, host)) = self.turns.first().filter(|t| t.0 <= self.now) {
-            self.turns.remove(&(at, host));
-            self.hosts[host].scheduled_turn = None;
-            self.run_turn(host);
+        while let Some(&(at, controller_index)) = self.turns.first().filter(|t| t.0 <= self.now) {
+            self.turns.remove(&(at, controller_index));
+            self.slots[controller_index].scheduled_turn = None;
+            self.run_turn(controller_index);
             self.perform_actions()?;
         }
         Ok(true)
@@ -245,16 +245,16 @@
         self.deliveries.push_back((self.now + NETWORK_LATENCY, delivery));
     }
 
-    fn schedule_inbound(&mut self, host: usize, inbound: Inbound) {
-        let generation = self.hosts[host].generation;
-        self.schedule_delivery(Delivery::Inbound { host, generation, inbound });
+    fn schedule_inbound(&mut self, controller_index: usize, inbound: Inbound) {
+        let generation = self.slots[controller_index].generation;
+        self.schedule_delivery(Delivery::Inbound { controller_index, generation, inbound });
     }
 
     fn perform_actions(&mut self) -> Result<(), String> {
         while let Some(action) = self.world.poll_action() {
             match action {
-                Action::Connect { connection_id: sim_connection, controller: host } => {
-                    self.schedule_inbound(host, Inbound::Accept(sim_connection))
+                Action::Connect { connection_id: sim_connection, controller: controller_index } => {
+                    self.schedule_inbound(controller_index, Inbound::Accept(sim_connection))
                 }
                 Action::Send { connection_id: sim_connection, controller, bytes } => {
                     self.schedule_inbound(controller, Inbound::Bytes(sim_connection, bytes))
@@ -262,69 +262,73 @@
                 Action::Close { connection_id: sim_connection, controller } => {
                     self.schedule_inbound(controller, Inbound::ReadClosed(sim_connection))
                 }
-                Action::StartController { controller: host, config } => {
+                Action::StartController { controller: controller_index, config } => {
                     let controller = (self.create_controller)(self.now, &config)?;
-                    let host_state = &mut self.hosts[host];
-                    let generation = host_state.generation + 1;
-                    if let Some(at) = host_state.scheduled_turn {
-                        self.turns.remove(&(at, host));
+                    let slot = &mut self.slots[controller_index];
+                    let generation = slot.generation + 1;
+                    if let Some(at) = slot.scheduled_turn {
+                        self.turns.remove(&(at, controller_index));
                     }
-                    *host_state = ControllerHost {
+                    *slot = ControllerSlot {
                         controller: Some(controller),
                         generation,
-                        ..ControllerHost::default()
+                        ..ControllerSlot::default()
                     };
-                    self.schedule_turn(host, self.now);
+                    self.schedule_turn(controller_index, self.now);
                 }
                 Action::SignalController {
-                    controller: host,
+                    controller: controller_index,
                     signal: Signal::Terminate | Signal::Interrupt,
                 } => {
-                    if let Some(controller) = &mut self.hosts[host].controller {
+                    if let Some(controller) = &mut self.slots[controller_index].controller {
                         controller.begin_turn(self.now);
                         controller.shut_down();
                     }
-                    self.schedule_turn(host, self.now);
+                    self.schedule_turn(controller_index, self.now);
                 }
                 // Controllers in this process read their configuration only at the start.
                 Action::SignalController { signal: Signal::Reload, .. } => {}
                 Action::ShutdownWrite { connection_id: sim_connection, controller } => {
                     self.schedule_inbound(controller, Inbound::ReadClosed(sim_connection))
                 }
-                Action::KillController { controller: host } => self.remove_controller(host),
+                Action::KillController { controller: controller_index } => {
+                    self.remove_controller(controller_index)
+                }
             }
         }
         Ok(())
     }
 
-    fn remove_controller(&mut self, host: usize) {
-        let host_state = &mut self.hosts[host];
-        if let Some(at) = host_state.scheduled_turn {
-            self.turns.remove(&(at, host));
+    fn remove_controller(&mut self, controller_index: usize) {
+        let slot = &mut self.slots[controller_index];
+        if let Some(at) = slot.scheduled_turn {
+            self.turns.remove(&(at, controller_index));
         }
-        let generation = host_state.generation + 1;
-        *host_state = ControllerHost { generation, ..ControllerHost::default() };
+        let generation = slot.generation + 1;
+        *slot = ControllerSlot { generation, ..ControllerSlot::default() };
     }
 
-    fn schedule_turn(&mut self, host: usize, at: Nanos) {
-        let host_state = &mut self.hosts[host];
-        let Some(controller) = &host_state.controller else { return };
-        let at = at.max(self.now).max(host_state.last_turn + controller.tick().min(MAX_TICK));
-        if host_state.scheduled_turn.is_none_or(|scheduled_turn| at < scheduled_turn) {
-            if let Some(before) = host_state.scheduled_turn.replace(at) {
-                self.turns.remove(&(before, host));
+    fn schedule_turn(&mut self, controller_index: usize, at: Nanos) {
+        let slot = &mut self.slots[controller_index];
+        let Some(controller) = &slot.controller else { return };
+        let at = at.max(self.now).max(slot.last_turn + controller.tick().min(MAX_TICK));
+        if slot.scheduled_turn.is_none_or(|scheduled_turn| at < scheduled_turn) {
+            if let Some(before) = slot.scheduled_turn.replace(at) {
+                self.turns.remove(&(before, controller_index));
             }
-            self.turns.insert((at, host));
+            self.turns.insert((at, controller_index));
         }
     }
 
     fn deliver(&mut self, delivery: Delivery) {
         let now = self.now;
         match delivery {
-            Delivery::Inbound { host, generation, inbound } => {
-                if self.hosts[host].generation == generation && self.hosts[host].controller.is_some() {
-                    self.hosts[host].inbound.push_back(inbound);
-                    self.schedule_turn(host, now);
+            Delivery::Inbound { controller_index, generation, inbound } => {
+                if self.slots[controller_index].generation == generation
+                    && self.slots[controller_index].controller.is_some()
+                {
+                    self.slots[controller_index].inbound.push_back(inbound);
+                    self.schedule_turn(controller_index, now);
                 } else if let Inbound::Accept(sim_connection) | Inbound::Connected(_, sim_connection) =
                     inbound
                 {
@@ -333,36 +337,37 @@
             }
             Delivery::Bytes(sim_connection, bytes) => self.world.bytes_received(now, sim_connection, &bytes),
             Delivery::Closed(sim_connection) => self.world.connection_closed(now, sim_connection),
-            Delivery::ConnectRequested { host, generation, conn, endpoint } => {
-                if self.hosts[host].generation != generation {
+            Delivery::ConnectRequested { controller_index, generation, conn, endpoint } => {
+                if self.slots[controller_index].generation != generation {
                     return;
                 }
-                let inbound = match self.world.connect_outcome(host, endpoint) {
-                    ConnectOutcome::Accepted => {
-                        Inbound::Connected(conn, self.world.controller_connected(now, host, endpoint))
-                    }
+                let inbound = match self.world.connect_outcome(controller_index, endpoint) {
+                    ConnectOutcome::Accepted => Inbound::Connected(
+                        conn,
+                        self.world.controller_connected(now, controller_index, endpoint),
+                    ),
                     ConnectOutcome::Refused => Inbound::ConnectFailed(conn),
                     ConnectOutcome::TimesOut => return,
                 };
-                self.schedule_inbound(host, inbound);
+                self.schedule_inbound(controller_index, inbound);
             }
         }
     }
 
-    fn run_turn(&mut self, host: usize) {
-        let Some(mut controller) = self.hosts[host].controller.take() else { return };
-        self.hosts[host].last_turn = self.now;
+    fn run_turn(&mut self, controller_index: usize) {
+        let Some(mut controller) = self.slots[controller_index].controller.take() else { return };
+        self.slots[controller_index].last_turn = self.now;
         controller.begin_turn(self.now);
-        while let Some(inbound) = self.hosts[host].inbound.pop_front() {
-            self.handle_inbound(host, controller.as_mut(), inbound);
+        while let Some(inbound) = self.slots[controller_index].inbound.pop_front() {
+            self.handle_inbound(controller_index, controller.as_mut(), inbound);
         }
         controller.handle_deadlines();
         let mut stopped = false;
         loop {
             controller.run_commands();
-            stopped |= self.handle_outputs(host, controller.as_mut());
+            stopped |= self.handle_outputs(controller_index, controller.as_mut());
             while let Some(conn) = controller.poll_write() {
-                let sim_connection = self.hosts[host].sim_connections.get(&conn).copied();
+                let sim_connection = self.slots[controller_index].sim_connections.get(&conn).copied();
                 let pending = controller.pending_bytes(conn);
                 if let (Some(sim_connection), false) = (sim_connection, pending.is_empty()) {
                     let bytes = pending.to_vec();
@@ -376,44 +381,46 @@
             }
         }
         controller.end_turn();
-        stopped |= self.handle_outputs(host, controller.as_mut());
+        stopped |= self.handle_outputs(controller_index, controller.as_mut());
         self.intervals.extend(std::iter::from_fn(|| controller.poll_interval(false)));
         if stopped {
-            self.remove_controller(host);
-            return self.world.controller_stopped(self.now, host);
+            self.remove_controller(controller_index);
+            return self.world.controller_stopped(self.now, controller_index);
         }
         let deadline = controller.next_deadline();
-        self.hosts[host].controller = Some(controller);
+        self.slots[controller_index].controller = Some(controller);
         if let Some(deadline) = deadline {
-            self.schedule_turn(host, deadline);
+            self.schedule_turn(controller_index, deadline);
         }
     }
 
-    fn handle_inbound(&mut self, host: usize, controller: &mut dyn Controller, inbound: Inbound) {
+    fn handle_inbound(&mut self, controller_index: usize, controller: &mut dyn Controller, inbound: Inbound) {
         match inbound {
             Inbound::Accept(sim_connection) => {
-                let conn = if self.hosts[host].listening { controller.accepted() } else { None };
+                let conn = if self.slots[controller_index].listening { controller.accepted() } else { None };
                 let Some(conn) = conn else {
                     return self.schedule_delivery(Delivery::Closed(sim_connection));
                 };
-                self.hosts[host].engine_connections.insert(sim_connection, conn);
-                self.hosts[host].sim_connections.insert(conn, sim_connection);
+                self.slots[controller_index].engine_connections.insert(sim_connection, conn);
+                self.slots[controller_index].sim_connections.insert(conn, sim_connection);
                 self.world.connection_established(self.now, sim_connection);
             }
             Inbound::Connected(conn, sim_connection) => {
-                if !self.hosts[host].connecting.remove(&conn) {
+                if !self.slots[controller_index].connecting.remove(&conn) {
                     return self.schedule_delivery(Delivery::Closed(sim_connection));
                 }
-                self.hosts[host].engine_connections.insert(sim_connection, conn);
-                self.hosts[host].sim_connections.insert(conn, sim_connection);
+                self.slots[controller_index].engine_connections.insert(sim_connection, conn);
+                self.slots[controller_index].sim_connections.insert(conn, sim_connection);
                 controller.connected(conn);
             }
             Inbound::ConnectFailed(conn) => {
-                self.hosts[host].connecting.remove(&conn);
+                self.slots[controller_index].connecting.remove(&conn);
                 controller.connect_failed(conn, true);
             }
             Inbound::Bytes(sim_connection, bytes) => {
-                let Some(conn) = self.hosts[host].engine_connections.get(&sim_connection).copied() else {
+                let Some(conn) =
+                    self.slots[controller_index].engine_connections.get(&sim_connection).copied()
+                else {
                     return;
                 };
                 let mut remaining = &bytes[..];
@@ -425,8 +432,8 @@
                 }
             }
             Inbound::ReadClosed(sim_connection) => {
-                if let Some(conn) = self.hosts[host].engine_connections.remove(&sim_connection) {
-                    self.hosts[host].sim_connections.remove(&conn);
+                if let Some(conn) = self.slots[controller_index].engine_connections.remove(&sim_connection) {
+                    self.slots[controller_index].sim_connections.remove(&conn);
                     controller.read_closed(conn);
                 }
             }
@@ -434,35 +441,37 @@
     }
 
     /// Carries out the outputs of a controller. Returns whether the controller has stopped.
-    fn handle_outputs(&mut self, host: usize, controller: &mut dyn Controller) -> bool {
+    fn handle_outputs(&mut self, controller_index: usize, controller: &mut dyn Controller) -> bool {
         let mut stopped = false;
         while let Some(output) = controller.poll_output() {
             match output {
                 Output::Connect { conn, to } => {
-                    self.hosts[host].connecting.insert(conn);
-                    let generation = self.hosts[host].generation;
+                    self.slots[controller_index].connecting.insert(conn);
+                    let generation = self.slots[controller_index].generation;
                     self.schedule_delivery(Delivery::ConnectRequested {
-                        host,
+                        controller_index,
                         generation,
                         conn,
                         endpoint: endpoint_at(to),
                     });
                 }
                 Output::Close(conn) => {
-                    self.hosts[host].connecting.remove(&conn);
-                    if let Some(sim_connection) = self.hosts[host].sim_connections.remove(&conn) {
-                        self.hosts[host].engine_connections.remove(&sim_connection);
+                    self.slots[controller_index].connecting.remove(&conn);
+                    if let Some(sim_connection) = self.slots[controller_index].sim_connections.remove(&conn) {
+                        self.slots[controller_index].engine_connections.remove(&sim_connection);
                         self.schedule_delivery(Delivery::Closed(sim_connection));
                     }
                 }
                 Output::ShutdownWrite(conn) => {
-                    if let Some(sim_connection) = self.hosts[host].sim_connections.get(&conn).copied() {
+                    if let Some(sim_connection) =
+                        self.slots[controller_index].sim_connections.get(&conn).copied()
+                    {
                         self.schedule_delivery(Delivery::Closed(sim_connection));
-                        self.schedule_inbound(host, Inbound::ReadClosed(sim_connection));
+                        self.schedule_inbound(controller_index, Inbound::ReadClosed(sim_connection));
                     }
                 }
-                Output::Listen(_) => self.hosts[host].listening = true,
-                Output::StopListening => self.hosts[host].listening = false,
+                Output::Listen(_) => self.slots[controller_index].listening = true,
+                Output::StopListening => self.slots[controller_index].listening = false,
                 Output::Stop => stopped = true,
             }
         }
--- a/rehearsal/src/world/callers.rs
+++ b/rehearsal/src/world/callers.rs
@@ -27,7 +27,7 @@
 const PIECE_INTERVAL: Nanos = 30 * MS;
 /// Inter-arrival times are drawn again at least this often, because the arrival rate may have changed.
 const MAX_ARRIVAL_GAP_SECONDS: f64 = 0.25;
-/// Q.850 causes that mean that the call was refused and may be tried again: no circuit available, switching
+/// Q.850 causes that count as a refusal rather than a failure: no circuit available, switching
 /// equipment congestion, recovery on timer expiry.
 const REFUSAL_CAUSES: [u8; 3] = [34, 42, 102];
 
@@ -181,13 +181,13 @@
             self.callers.next_intent += 1;
             self.statistics.record_offered(class, self.elapsed_seconds());
             self.intents.insert(intent_id, intent);
-            self.dial(intent_id);
+            self.start_try(intent_id);
         }
         self.schedule_arrival(origin);
     }
 
     /// Starts a caller's next try.
-    pub(super) fn dial(&mut self, intent_id: u64) {
+    pub(super) fn start_try(&mut self, intent_id: u64) {
         let Some(intent) = self.intents.get_mut(&intent_id) else { return };
         let class = &self.script.classes[intent.class];
         let gives_up_at = intent.first_try_at + seconds_to_nanos(class.deadline.0);
--- a/rehearsal/src/world/incidents.rs
+++ b/rehearsal/src/world/incidents.rs
@@ -306,7 +306,7 @@
     fn start_node(&mut self, node: usize, machine: usize) {
         let processor = &mut self.processors[node];
         if processor.alive || processor.failed_cold && self.machine_of_node[node] == machine {
-            return; // it is running, or was overloaded while cold and stays down
+            return; // it is running, or failed while cold and stays down
         }
         (processor.alive, processor.failed_cold, processor.cold_since) = (true, false, Some(self.now));
         self.machine_of_node[node] = machine;
--- a/rehearsal/src/world/journal.rs
+++ b/rehearsal/src/world/journal.rs
@@ -1,4 +1,4 @@
-//! The node register: each controller has a journal service, which learns of changes after a delay and serves them
+//! The journal services, one for each controller. Each learns of changes to the nodes after a delay and serves them
 //! over HTTP by long polling.
 
 use std::collections::BTreeMap;
--- a/rehearsal/src/world/mod.rs
+++ b/rehearsal/src/world/mod.rs
@@ -1,5 +1,5 @@
 //! Discrete-event simulation of everything around the controllers: callers, trunk groups, exchange nodes, the
-//! node register and the advice centre.
+//! journal services and the advice centre.
 //!
 //! The simulation does no I/O and reads no clock: a driver passes in the current time and the bytes that
 //! controllers sent, and carries out the [`Action`]s that the simulation queues. The same [`World`] therefore runs
@@ -238,7 +238,7 @@
     AdviceSnapshot,
     TrafficDrift,
     Sample,
-    /// The front end stops sending new connections to a terminating controller.
+    /// Callers open no new connections to a terminating controller from now on.
     LeaveRotation {
         controller: usize,
     },
@@ -309,7 +309,7 @@
     journal_services: Vec<JournalService>,
     /// By controller, whether its process runs.
     running: Vec<bool>,
-    /// By controller, whether the front end sends new caller connections to it.
+    /// By controller, whether callers open new connections to it.
     in_rotation: Vec<bool>,
     controller_starts: Vec<ControllerStart>,
     /// By controller, when SIGTERM was sent to it.
@@ -483,7 +483,7 @@
     fn dispatch(&mut self, event: Event) {
         match event {
             Event::Arrival { node: origin } => self.arrival(origin),
-            Event::Redial { intent_id } => self.dial(intent_id),
+            Event::Redial { intent_id } => self.start_try(intent_id),
             Event::CallerTimeout { intent_id, tries } => self.caller_times_out(intent_id, tries),
             Event::HoldTimeEnds { intent_id } => self.end_call(intent_id),
             Event::JobCompleted { node, job_generation: run } => self.complete_job(node, run),
--- a/rehearsal/src/world/processor.rs
+++ b/rehearsal/src/world/processor.rs
@@ -17,7 +17,7 @@
 /// is as planned.
 pub(super) fn seconds_per_set_up(script: &Script) -> f64 {
     let config = &script.processor;
-    // A call costs its origin node one look, and both nodes a set-up, an answer and a release.
+    // A call costs its origin node one examination (`look`), and both nodes a set-up, an answer and a release.
     let work = config.look.0 + 2.0 * (1.0 + 2.0 * config.answer.0);
     config.use_at_plan.0 * f64::from(script.nodes) / script.planned_calls.0 / work
 }
@@ -49,7 +49,7 @@
 pub(super) struct Processor {
     seconds_per_set_up: f64,
     pub alive: bool,
-    /// It was overloaded while cold, and stays down.
+    /// It failed because it was overloaded while cold, and stays down.
     pub failed_cold: bool,
     /// Number of active script events in which it hangs.
     pub hang_events: u32,
@@ -217,8 +217,8 @@
         self.start_next_job(node);
     }
 
-    /// Whether a node turns a set-up away because its queue is too long. Turning away costs work, too. A hanging node
-    /// turns nothing away.
+    /// Whether a node rejects a set-up because its queue is too long. Rejecting costs work, too. A hanging node rejects
+    /// nothing.
     pub(super) fn reject_if_overloaded(&mut self, node: usize) -> bool {
         let processor = &self.processors[node];
         let wait = processor.queued_work / processor.set_ups_per_second(self.now, &self.script);
