--- a/ctl/src/dimension.rs
+++ b/ctl/src/dimension.rs
@@ -167,7 +167,7 @@
     }
     for (kind, days) in scarce_kinds {
         remarks.push(format!(
-            "{days} days of the kind '{kind}': fewer than {MIN_DAYS} weeks do not show how such days differ"
+            "{days} days of the kind '{kind}': fewer than {MIN_DAYS} do not show how such days differ"
         ));
     }
     let kinds: Vec<&str> = hours.values().flatten().map(|h| h.kind.name()).collect();
--- a/measured/src/meter.rs
+++ b/measured/src/meter.rs
@@ -13,7 +13,7 @@
 const MAX_GROUPS: usize = 1024;
 /// Maximum number of tandems of one class on one group.
 const MAX_TANDEMS_PER_CLASS: usize = 32;
-/// Maximum number of dialled numbers in one generation of the redial detection.
+/// Maximum number of dialled numbers in one period of the redial detection.
 const MAX_DIALLED_NUMBERS: usize = 20_000;
 
 /// A class of call.
@@ -73,10 +73,10 @@
     groups: BTreeMap<u32, GroupCounters>,
     holding: Vec<HoldingCounters>,
     uncounted: u64,
-    /// Time of the first try to each dialled number of which no call is known to stand, in the current
-    /// and the previous generation.
+    /// Time of the first try to each dialled number that has not been reached since, as far as known; in the current
+    /// and the previous period.
     first_tries: [HashMap<u64, i64>; 2],
-    generation_start: i64,
+    period_start: i64,
 }
 
 fn empty_holding() -> HoldingCounters {
@@ -107,7 +107,7 @@
             holding: (0..count).map(|_| empty_holding()).collect(),
             uncounted: 0,
             first_tries: Default::default(),
-            generation_start: now,
+            period_start: now,
         }
     }
 
@@ -136,15 +136,16 @@
     /// Whether a call to `number` is a redial: within the redial window, there was a try that is not known to
     /// stand. Records the try.
     fn is_redial(&mut self, now: i64, number: u64) -> bool {
-        if now >= self.generation_start + self.redial_window_ms
+        if now >= self.period_start + self.redial_window_ms
             || self.first_tries[0].len() >= MAX_DIALLED_NUMBERS
         {
             self.first_tries[1] = std::mem::take(&mut self.first_tries[0]);
-            self.generation_start = now;
+            self.period_start = now;
         }
         let earlier = self.first_tries[0].get(&number).or_else(|| self.first_tries[1].get(&number)).copied();
         let redialled = earlier.filter(|first| now < first + self.redial_window_ms);
-        // The window starts at the first try, so that a caller who redials for longer is offered load again.
+        // The window starts at the first try, so that a call after the window counts as a fresh call, even
+        // if the caller has redialled all the time.
         self.first_tries[0].insert(number, redialled.unwrap_or(now));
         redialled.is_some()
     }
@@ -164,8 +165,8 @@
     /// Counts a call that now stands. `via` is the destination for a direct call, the tandem otherwise.
     pub fn record_standing(&mut self, call: Call, via: u32, number: Option<u64>) {
         if let Some(n) = number {
-            for generation in &mut self.first_tries {
-                generation.remove(&n);
+            for period in &mut self.first_tries {
+                period.remove(&n);
             }
         }
         let Some(figures) = self.class_figures_mut(call.destination, call.class) else { return };
--- a/measured/src/record.rs
+++ b/measured/src/record.rs
@@ -22,7 +22,7 @@
     pub width: u32,
     /// Fresh calls to the exchange at the group's other end, without redials.
     pub offered: u64,
-    /// Redials: further tries of callers whose earlier try came to nothing or whose call was cut.
+    /// Redials: further tries of callers whose earlier try did not stand or whose call was cut.
     pub redials: u64,
     /// Fresh calls and redials that stood on this group itself.
     pub carried: u64,
--- a/rehearsal/src/audit.rs
+++ b/rehearsal/src/audit.rs
@@ -1,6 +1,8 @@
 //! The invariant checker. It observes the messages on the wires and the updates that the journal services sent,
 //! knows nothing of any controller's inner state, and checks every [`Rule`]. A [`Breach`] names the call, the time
 //! and the messages that show it.
+//!
+//! A node is an exchange, by its number; a machine is one of the machines that serve or served as that exchange.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -13,21 +15,23 @@
 
 /// How long after the caller's deadline a final answer is still accepted.
 pub const ANSWER_GRACE: Nanos = 20 * MS + SOCKET_DELAY_ALLOWANCE;
-/// How long a controller may go on sending set-ups to a node after it was told that the node drains or is gone.
+/// How long a controller may go on sending set-ups to a node after the node's drain or end counts as known to
+/// it.
 const DRAIN_GRACE: Nanos = 500 * MS + SOCKET_DELAY_ALLOWANCE;
 /// A journal update counts as known to the controller this long after it became available, even if the controller
 /// never received it.
 const UPDATE_KNOWN_AFTER: Nanos = 7 * SEC;
-/// The same after requests to the journal failed, were refused or timed out; counted from its recovery.
+/// As [`UPDATE_KNOWN_AFTER`], if requests to the journal service failed, were refused or timed out; counted from the
+/// recovery of the service.
 const UPDATE_KNOWN_AFTER_OUTAGE: Nanos = 6 * SEC;
 /// How long a call must not be sent again after an attempt whose resources at the node may still be held.
 const RELEASE_WAIT: Nanos = 300 * MS;
-/// How soon after the exchange's BYE the controller has to release the call towards its caller.
+/// How soon after the node's BYE the controller has to release the call towards its caller.
 const RELEASE_LIMIT_AFTER_BYE: Nanos = SEC + SOCKET_DELAY_ALLOWANCE;
-/// The same where the exchange could not send a BYE, counted from the end of the call. The controller has to detect
-/// the end by itself, even before the journal reports the machine as gone.
+/// As [`RELEASE_LIMIT_AFTER_BYE`], if the node could not send a BYE; counted from the end of the call. The controller
+/// has to detect the end by itself, even before the journal reports the machine as gone.
 const RELEASE_LIMIT_WITHOUT_BYE: Nanos = 8 * SEC + SOCKET_DELAY_ALLOWANCE;
-/// A set-up that arrives later than this after SIGTERM has to be answered before SIGKILL.
+/// A set-up that arrives later than this after SIGTERM needs its final answer before SIGKILL.
 const LATE_SET_UP_AFTER_SIGTERM: Nanos = 700 * MS;
 /// How long the record of an ended call is kept past its deadline, for messages that cross the call's end.
 const ENDED_CALL_RETENTION: Nanos = 20 * SEC;
@@ -44,17 +48,17 @@
     OneFinalAnswer,
     /// The final answer comes before the caller gives up.
     AnswerInTime,
-    /// A call has at most one attempt out at a time.
+    /// A call has at most one pending attempt at a time.
     OneAttemptOut,
     /// A call makes no more attempts than the script allows.
     AttemptsCapped,
-    /// No set-up is sent for a call that has its final answer or was given up.
+    /// No set-up is sent for a call that has its final answer or whose caller gave up.
     NothingAfterTheEnd,
     /// No set-up is sent to a node that drains or is gone.
     DrainKept,
     /// A call is sent again only after the wait that follows a time-out, a lost connection or a CANCEL.
     ReleaseWaited,
-    /// Controllers that know of a cold processor do not crash it with set-ups.
+    /// Controllers that know of a cold processor do not make it fail by their set-ups.
     ColdBudget,
     /// A call in transit is sent to its destination only, and no call to the controller's own exchange.
     Transit,
@@ -64,24 +68,24 @@
     Unchanged,
     /// A controller's output can be parsed.
     Readable,
-    /// A controller's process ends only when it is told to.
+    /// A controller's process runs until the rehearsal terminates or kills it.
     RunsOn,
     /// A controller accepts connections in time after its start.
     ReadyInTime,
     /// A controller stays within its limits of memory and file descriptors.
     WithinLimits,
-    /// A misbehaving caller gets a response or is disconnected in time.
+    /// A bad caller gets a response or is disconnected in time.
     BadCallerTold,
 }
 
 /// The longest delay observed against each time limit, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorstDelays {
-    /// From the end of a call whose exchange could not send a BYE until its caller was told.
+    /// From the end of a call whose node could not send a BYE until its caller was notified.
     pub told_after_end_s: f64,
-    /// From an exchange's BYE until the caller was told.
+    /// From a node's BYE until the caller was notified.
     pub told_after_release_s: f64,
-    /// From when a controller counts as told that a node drains or is gone until its last set-up to that node.
+    /// From when a node's drain or end counts as known to a controller until its last set-up to that node.
     pub set_up_after_drain_s: f64,
     /// From a caller's deadline until its final answer, where that came late.
     pub answer_after_deadline_s: f64,
@@ -141,13 +145,13 @@
     ControllerKilled { controller: usize, terminated_at: Option<Nanos> },
     /// A controller exited after SIGTERM.
     ControllerExited { controller: usize },
-    /// A controller's process ended without being told to.
+    /// A controller's process ended, but the rehearsal neither terminated nor killed it.
     ControllerCrashed { controller: usize, exit_status: &'a str },
     /// A controller did not accept connections in time after its start.
     ControllerNotReady { controller: usize },
     /// A controller uses more memory or file descriptors than it may.
     ControllerOverLimit { controller: usize, memory_mb: u64, descriptors: u64 },
-    /// A misbehaving caller got neither a response nor a closed connection in time.
+    /// A bad caller got neither a response nor a closed connection in time.
     BadCallerIgnored { controller: usize },
     /// A caller's set-up, or one in transit: the leg of a parent call that another controller sent on.
     SetUpFromCaller {
@@ -162,9 +166,9 @@
     },
     /// The caller gave up its set-up.
     CallerGaveUp { controller: usize, id: u64 },
-    /// The caller's connection ended while its set-up was unanswered.
+    /// The caller's connection ended before the final answer to its set-up.
     CallerDisconnected { controller: usize, id: u64 },
-    /// The controller told the caller that the call stands.
+    /// The controller notified the caller that the call stands.
     AnswerToCaller { controller: usize, id: u64, description: &'a [u8] },
     /// The controller refused, failed or released the call.
     ReleaseToCaller { controller: usize, id: u64, cause: u8, retry_after: Option<Nanos> },
@@ -178,7 +182,7 @@
         number: &'a str,
         description: &'a [u8],
     },
-    /// The controller gave up the attempt.
+    /// The controller cancelled the attempt.
     CancelToNode { controller: usize, id: u64 },
     /// The connection that carried the attempt is gone.
     AttemptConnectionLost { controller: usize, id: u64 },
@@ -289,24 +293,25 @@
     destination: usize,
     in_transit: bool,
     /// The caller got its final answer.
-    answered: bool,
-    /// The caller waits no longer, or its set-up was lost with its controller.
+    final_answer_given: bool,
+    /// No final answer is due any more: the caller gave up or was disconnected, its controller was killed, or the
+    /// missing answer has been recorded as a breach.
     given_up: bool,
     stands: bool,
-    /// An attempt is out.
-    attempt_out: bool,
+    /// An attempt is pending.
+    attempt_pending: bool,
     attempts: u32,
     /// When an attempt last ended whose resources at the node may still be held.
-    retry_wait_from: Option<Nanos>,
+    release_wait_from: Option<Nanos>,
     /// Descriptions in the exchanges' answers.
     node_answers: Vec<Vec<u8>>,
-    /// When the caller has to be told of the call's end at the latest.
+    /// When the caller has to be notified of the call's end at the latest.
     release_by: Option<Nanos>,
     /// When the call ended at its node.
     ended_at: Option<Nanos>,
     /// When the node first sent a BYE.
     bye_at: Option<Nanos>,
-    /// The controller that had the call is gone; its successor knows only what it is told.
+    /// The controller that had the call is gone; its successor has not taken it over.
     orphaned: bool,
     /// The controller released the call, towards its caller or its node.
     released: bool,
@@ -321,11 +326,11 @@
     records: HashMap<CallKey, CallRecord>,
     /// When each record is to be checked.
     deadlines: BTreeSet<(Nanos, CallKey)>,
-    /// By controller and machine: since when the controller counts as told not to send set-ups there.
-    closed_since: HashMap<(usize, usize), Nanos>,
+    /// By controller and machine: from when the machine's drain or end counts as known to the controller.
+    drain_known_since: HashMap<(usize, usize), Nanos>,
     /// When each machine last started.
     machine_starts: HashMap<usize, Nanos>,
-    /// Controller and machine, where the controller was told of the machine's latest start.
+    /// Controller and machine, where the journal service has reported the machine's latest start to the controller.
     knows_start: BTreeSet<(usize, usize)>,
     breach_counts: BTreeMap<Rule, u64>,
     breaches: Vec<Breach>,
@@ -342,7 +347,7 @@
             started_at: None,
             records: HashMap::new(),
             deadlines: BTreeSet::new(),
-            closed_since: HashMap::new(),
+            drain_known_since: HashMap::new(),
             machine_starts: HashMap::new(),
             knows_start: BTreeSet::new(),
             breach_counts: BTreeMap::new(),
@@ -402,19 +407,19 @@
         self.record_breach(now, Rule::Readable, controller, None, "output that cannot be parsed".into());
     }
 
-    /// A machine has started. Controllers that were told of an earlier start do not know of this one yet.
+    /// A machine has started. Controllers that know of an earlier start do not know of this one yet.
     pub fn machine_started(&mut self, now: Nanos, machine: usize) {
         self.machine_starts.insert(machine, now);
         self.knows_start.retain(|(_, m)| *m != machine);
     }
 
-    /// A cold processor crashed under set-ups, each from one of these controllers. The rule is broken if at least two
+    /// A cold processor failed under set-ups, each from one of these controllers. The rule is broken if at least two
     /// thirds of the set-ups came from controllers that knew of its start.
-    pub fn cold_processor_crashed(&mut self, now: Nanos, machine: usize, node: usize, from: &[usize]) {
+    pub fn cold_processor_failed(&mut self, now: Nanos, machine: usize, node: usize, from: &[usize]) {
         let informed = from.iter().filter(|c| self.knows_start.contains(&(**c, machine))).count();
         if 3 * informed >= 2 * from.len() {
             let what = format!(
-                "n{node} crashed while cold: {} set-ups, {informed} from controllers told of its start",
+                "n{node} failed while cold: {} set-ups, {informed} from controllers that know of its start",
                 from.len()
             );
             self.record_breach(now, Rule::ColdBudget, from.last().copied().unwrap_or(node), None, what);
@@ -428,15 +433,15 @@
             let Some(record) = self.records.get_mut(&key) else { continue };
             if record.release_by.is_some_and(|by| by <= at) {
                 record.release_by = None;
-                let what = "the call ended, and its caller was not told in time".into();
+                let what = "the call ended, and its caller was not notified in time".into();
                 self.record_breach(at, Rule::ReleasePassed, key.controller, Some(key.id), what);
-            } else if !record.answered && !record.given_up && record.deadline + ANSWER_GRACE <= at {
+            } else if !record.final_answer_given && !record.given_up && record.deadline + ANSWER_GRACE <= at {
                 record.given_up = true;
                 let what = "no final answer before the caller gave up".into();
                 self.record_breach(at, Rule::AnswerInTime, key.controller, Some(key.id), what);
             }
             let record = &self.records[&key];
-            if record.released || record.given_up || record.answered && !record.stands {
+            if record.released || record.given_up || record.final_answer_given && !record.stands {
                 if at > record.deadline + ENDED_CALL_RETENTION {
                     self.records.remove(&key);
                 } else {
@@ -508,7 +513,7 @@
                     Rule::RunsOn,
                     controller,
                     None,
-                    format!("the process ended unasked: {exit_status}"),
+                    format!("the process ended unexpectedly: {exit_status}"),
                 );
             }
             Observation::ControllerNotReady { controller } => {
@@ -526,7 +531,7 @@
                 self.record_breach(now, Rule::WithinLimits, controller, None, what);
             }
             Observation::BadCallerIgnored { controller } => {
-                let what = "a misbehaving caller was neither answered nor disconnected".into();
+                let what = "a bad caller was neither answered nor disconnected".into();
                 self.record_breach(now, Rule::BadCallerTold, controller, None, what);
             }
             Observation::JournalUpdateAvailable { controller, machine, state, after_outage }
@@ -534,30 +539,32 @@
             {
                 let known_at =
                     now + if after_outage { UPDATE_KNOWN_AFTER_OUTAGE } else { UPDATE_KNOWN_AFTER };
-                let at = self.closed_since.entry((controller, machine)).or_insert(known_at);
+                let at = self.drain_known_since.entry((controller, machine)).or_insert(known_at);
                 *at = (*at).min(known_at);
             }
             Observation::JournalUpdateSent { controller, machine, state: "SERVING" } => {
-                self.closed_since.remove(&(controller, machine));
+                self.drain_known_since.remove(&(controller, machine));
                 if self.machine_starts.contains_key(&machine) {
                     self.knows_start.insert((controller, machine));
                 }
             }
             Observation::JournalUpdateSent { controller, machine, .. } => {
-                let at = self.closed_since.entry((controller, machine)).or_insert(now);
+                let at = self.drain_known_since.entry((controller, machine)).or_insert(now);
                 *at = (*at).min(now);
             }
             _ => {}
         }
     }
 
-    /// A controller was killed: its unanswered set-ups are lost with it. Those that arrived late after SIGTERM should
-    /// have been answered before.
+    /// A controller was killed: its set-ups without a final answer are lost with it. Those that arrived late after
+    /// SIGTERM should have had their final answer before.
     fn controller_killed(&mut self, now: Nanos, controller: usize, terminated_at: Option<Nanos>) {
         let late =
             |r: &CallRecord| terminated_at.is_some_and(|at| r.set_up_at > at + LATE_SET_UP_AFTER_SIGTERM);
-        let open =
-            self.records.iter().filter(|(key, r)| key.controller == controller && !r.answered && !r.given_up);
+        let open = self
+            .records
+            .iter()
+            .filter(|(key, r)| key.controller == controller && !r.final_answer_given && !r.given_up);
         let mut lost: Vec<u64> = open.filter(|(_, r)| late(r)).map(|(key, _)| key.id).collect();
         lost.sort_unstable();
         for id in lost {
@@ -566,7 +573,7 @@
         }
         for (key, record) in &mut self.records {
             if key.controller == controller {
-                record.given_up |= !record.answered;
+                record.given_up |= !record.final_answer_given;
             }
         }
         self.orphan_calls(controller);
@@ -580,7 +587,7 @@
                 record.release_by = None;
             }
         }
-        self.closed_since.retain(|(c, _), _| *c != controller);
+        self.drain_known_since.retain(|(c, _), _| *c != controller);
         self.knows_start.retain(|(c, _)| *c != controller);
     }
 
@@ -627,9 +634,10 @@
         match observation {
             Observation::CallerGaveUp { .. } | Observation::CallerDisconnected { .. } => {
                 let lost = matches!(observation, Observation::CallerDisconnected { .. })
-                    && !record.answered
+                    && !record.final_answer_given
                     && !record.given_up;
-                let late = now >= record.deadline + ANSWER_GRACE && !record.answered && !record.given_up;
+                let late =
+                    now >= record.deadline + ANSWER_GRACE && !record.final_answer_given && !record.given_up;
                 record.given_up = true;
                 if late {
                     broken = Some((Rule::AnswerInTime, "no final answer before the caller gave up"));
@@ -638,7 +646,7 @@
                 }
             }
             Observation::AnswerToCaller { description, .. } => {
-                if record.answered {
+                if record.final_answer_given {
                     broken = Some((Rule::OneFinalAnswer, "a second final answer"));
                 } else if record.given_up {
                     // The answer crossed the caller's release: no answer is due, and the call does not stand.
@@ -647,11 +655,11 @@
                 } else if !record.node_answers.iter().any(|a| a == description) {
                     broken = Some((Rule::Unchanged, "the answer is not one that an exchange gave"));
                 }
-                if !record.answered && !record.given_up && now > record.deadline {
+                if !record.final_answer_given && !record.given_up && now > record.deadline {
                     raise(&mut self.worst.answer_after_deadline_s, to_seconds(now - record.deadline));
                 }
-                record.stands |= !record.answered && !record.given_up;
-                record.answered = true;
+                record.stands |= !record.final_answer_given && !record.given_up;
+                record.final_answer_given = true;
             }
             // A successor passes on the release of a call that it never saw: it cannot know that its predecessor had
             // already failed that call.
@@ -666,25 +674,25 @@
                 (record.released, record.release_by) = (true, None);
             }
             Observation::ReleaseToCaller { .. } => {
-                if record.answered {
+                if record.final_answer_given {
                     broken = Some((Rule::OneFinalAnswer, "a second final answer"));
                 } else if !record.given_up && now > record.deadline + ANSWER_GRACE {
                     broken = Some((Rule::AnswerInTime, "the answer came after the caller gave up"));
                 }
-                record.answered = true;
+                record.final_answer_given = true;
             }
             Observation::CancelToNode { .. } => {
-                (record.attempt_out, record.retry_wait_from) = (false, Some(now))
+                (record.attempt_pending, record.release_wait_from) = (false, Some(now))
             }
-            Observation::AttemptConnectionLost { .. } if record.attempt_out => {
-                (record.attempt_out, record.retry_wait_from) = (false, Some(now))
+            Observation::AttemptConnectionLost { .. } if record.attempt_pending => {
+                (record.attempt_pending, record.release_wait_from) = (false, Some(now))
             }
             Observation::ByeFromController { .. } => (record.released, record.release_by) = (true, None),
             Observation::ResponseFromNode { code, description, .. } => {
-                record.attempt_out = false;
+                record.attempt_pending = false;
                 match code {
                     200 => record.node_answers.push(description.to_vec()),
-                    504 => record.retry_wait_from = Some(now),
+                    504 => record.release_wait_from = Some(now),
                     _ => {}
                 }
             }
@@ -714,7 +722,7 @@
         (class, number, description): (&str, &str, &[u8]),
     ) {
         let max_attempts = self.max_attempts;
-        let closed = self.closed_since.get(&(key.controller, machine)).copied();
+        let drain_known = self.drain_known_since.get(&(key.controller, machine)).copied();
         let Some(record) = self.records.get_mut(&key) else { return };
         let mut broken = Vec::new();
         if (record.class.as_str(), record.number.as_str(), &record.description[..])
@@ -722,20 +730,20 @@
         {
             broken.push((Rule::Unchanged, "the set-up differs from the caller's"));
         }
-        if record.answered || record.given_up {
+        if record.final_answer_given || record.given_up {
             broken.push((
                 Rule::NothingAfterTheEnd,
                 "a set-up after the final answer or after the caller gave up",
             ));
         }
-        if record.attempt_out {
-            broken.push((Rule::OneAttemptOut, "a second attempt while one is out"));
+        if record.attempt_pending {
+            broken.push((Rule::OneAttemptOut, "a second attempt while one is pending"));
         }
         record.attempts += 1;
         if record.attempts > max_attempts {
             broken.push((Rule::AttemptsCapped, "more attempts than allowed"));
         }
-        if record.retry_wait_from.is_some_and(|from| now < from + RELEASE_WAIT) {
+        if record.release_wait_from.is_some_and(|from| now < from + RELEASE_WAIT) {
             broken.push((Rule::ReleaseWaited, "sent again before the wait after an unclean end was over"));
         }
         if node == key.controller || record.in_transit && node != record.destination {
@@ -744,16 +752,16 @@
                 "sent to its own exchange, or in transit to a node that is not its destination",
             ));
         }
-        if let Some(at) = closed.filter(|at| now > *at) {
+        if let Some(at) = drain_known.filter(|at| now > *at) {
             raise(&mut self.worst.set_up_after_drain_s, to_seconds(now - at));
         }
-        if closed.is_some_and(|at| now > at + DRAIN_GRACE) {
+        if drain_known.is_some_and(|at| now > at + DRAIN_GRACE) {
             broken.push((
                 Rule::DrainKept,
-                "sent to a node after the controller was told that it drains or is gone",
+                "sent to a node whose drain or end counts as known to the controller",
             ));
         }
-        record.attempt_out = true;
+        record.attempt_pending = true;
         for (rule, what) in broken {
             self.record_breach(now, rule, key.controller, Some(key.id), what.into());
         }
--- a/rehearsal/src/lib.rs
+++ b/rehearsal/src/lib.rs
@@ -59,7 +59,7 @@
     pub run: RunReport,
     /// The intervals that all controllers measured.
     pub intervals: Vec<Interval>,
-    /// The load offered by first dials, in erlang of calls; by class and the two ends of a group, the lower first.
+    /// The load offered by first tries, in erlang of calls; by class and the two ends of a group, the lower first.
     pub offered: BTreeMap<(String, (u32, u32)), f64>,
 }
 
--- a/rehearsal/src/report.rs
+++ b/rehearsal/src/report.rs
@@ -12,15 +12,15 @@
 /// The outcome of a caller's call, all its redials included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It stood within its aim, to its natural end.
+    /// It stood within the delay target (`aim`) and ended normally.
     Stood,
-    /// It stood, but later than its aim.
+    /// It stood, but later than the delay target.
     Late,
-    /// Its last dial was refused.
+    /// Its last try was refused.
     Refused,
-    /// Its last dial failed or was given up.
+    /// Its last try failed, or the caller gave up.
     Failed,
-    /// It stood and was cut before its natural end.
+    /// It stood and was cut before its normal end.
     Cut,
 }
 
@@ -29,13 +29,13 @@
 pub struct Calls {
     /// Calls offered.
     pub offered: u64,
-    /// Calls that stood within their aim, to their natural end.
+    /// Calls that stood within the delay target (`aim`) and ended normally.
     pub stood: u64,
-    /// Calls that stood later than their aim.
+    /// Calls that stood later than the delay target.
     pub late: u64,
-    /// Calls whose last dial was refused.
+    /// Calls whose last try was refused.
     pub refused: u64,
-    /// Calls whose last dial failed or was given up.
+    /// Calls whose last try failed, or whose caller gave up.
     pub failed: u64,
     /// Calls that stood and were cut.
     pub cut: u64,
@@ -70,7 +70,7 @@
     pub wait: Vec<f64>,
     /// Samples while the processor is cold: time in seconds, set-ups that arrived within the window, and the budget.
     pub cold: Vec<(f64, f64, f64)>,
-    /// Set-ups that the node turned away.
+    /// Set-ups that the node's full processor rejected.
     pub turned_away: u64,
 }
 
@@ -97,13 +97,13 @@
 /// A lost call, to be examined with `--trace`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LostCall {
-    /// The id of its last dial.
+    /// The id of its last try.
     pub call: String,
     /// The controller that handled it.
     pub controller: String,
     /// The call's class.
     pub class: String,
-    /// Seconds from the start of the rehearsal to the first dial.
+    /// Seconds from the start of the rehearsal to the first try.
     pub at: f64,
     /// The call's outcome.
     pub how: String,
@@ -130,7 +130,7 @@
     nodes: Vec<NodeReport>,
     redials: u64,
     lost: Vec<LostCall>,
-    /// Microseconds from a dial to its answer.
+    /// Microseconds from a try to its answer.
     set_up_times_us: Histogram<u64>,
     /// State changes of machines, in the order in which they happened: the machine, its new state and its boot time.
     /// The journal services learn of them later.
@@ -191,17 +191,17 @@
         }
     }
 
-    /// A dial was answered after this time.
+    /// A try was answered after this time.
     pub fn record_set_up_time(&mut self, set_up_time: Nanos) {
         self.set_up_times_us.saturating_record(set_up_time / 1_000);
     }
 
-    /// A caller dials again.
+    /// A caller redials.
     pub fn record_redial(&mut self) {
         self.redials += 1;
     }
 
-    /// A node turned a set-up away.
+    /// A node's full processor rejected a set-up.
     pub fn record_turned_away(&mut self, node: usize) {
         self.nodes[node].turned_away += 1;
     }
--- a/rehearsal/src/soak/mod.rs
+++ b/rehearsal/src/soak/mod.rs
@@ -34,11 +34,11 @@
 pub struct SoakReport {
     /// Number of runs that were played.
     pub runs: usize,
-    /// Seeds of runs in which the driver fell behind real time; these runs are not judged.
+    /// Seeds of unreliable runs, in which the driver fell behind real time. These runs count in `runs` only.
     pub late: Vec<u64>,
-    /// Controllers whose process ended without being told to.
+    /// How often a controller's process ended without having been terminated or killed by the rehearsal.
     pub crashes: u64,
-    /// How often each rule was broken, in the runs that were judged.
+    /// How often each rule was broken, without the unreliable runs.
     pub rules_broken: BTreeMap<Rule, u64>,
     /// The longest delay against each time limit.
     pub worst: WorstDelays,
@@ -47,7 +47,7 @@
 }
 
 impl SoakReport {
-    /// Whether a rule was broken in a run that was judged.
+    /// Whether a rule was broken, unreliable runs excluded.
     pub fn has_breaches(&self) -> bool {
         self.rules_broken.values().any(|n| *n > 0)
     }
--- a/rehearsal/src/world/nodes.rs
+++ b/rehearsal/src/world/nodes.rs
@@ -366,7 +366,7 @@
     fn fail_cold_node(&mut self, node: usize) {
         let machine = self.machine_of_node[node];
         let senders: Vec<usize> = self.processors[node].recent_cold_set_ups.iter().map(|(_, c)| *c).collect();
-        self.auditor.cold_processor_crashed(self.now, machine, node, &senders);
+        self.auditor.cold_processor_failed(self.now, machine, node, &senders);
         self.processors[node].failed_cold = true;
         self.stop_node(node, ConnectOutcome::Refused);
         let delay_range = self.script.journal.silent;
--- a/rehearsal/tests/common/mod.rs
+++ b/rehearsal/tests/common/mod.rs
@@ -57,7 +57,7 @@
     timeout_ms: u64,
     destination: u64,
     attempts: u32,
-    /// The machine to which an attempt is out, or at which the call stands.
+    /// The machine at which an attempt is pending, or at which the call stands.
     machine: Option<String>,
     stands: bool,
     answered: bool,
@@ -115,7 +115,7 @@
             pending_writes: BTreeSet::new(),
         };
         controller.apply_journal_answer(&config["known"]);
-        controller.dial(controller.journal, Peer::Journal);
+        controller.connect(controller.journal, Peer::Journal);
         Ok(Box::new(controller))
     }
 
@@ -139,7 +139,7 @@
     fn connect_machine(&mut self, uid: &str) {
         let address = self.machines.get(uid).filter(|m| m.conn.is_none()).map(|m| m.address);
         if let Some(address) = address {
-            let conn = self.dial(address, Peer::Machine(uid.into()));
+            let conn = self.connect(address, Peer::Machine(uid.into()));
             self.machines.get_mut(uid).expect("a known machine or call").conn = Some(conn);
         }
     }
@@ -153,7 +153,7 @@
         self.last_conn
     }
 
-    fn dial(&mut self, to: SocketAddr, peer: Peer) -> ConnId {
+    fn connect(&mut self, to: SocketAddr, peer: Peer) -> ConnId {
         let conn = self.add_connection(peer, false);
         self.outputs.push_back(Output::Connect { conn, to });
         conn
@@ -449,7 +449,7 @@
                     let uids: Vec<String> = reconnecting.map(|(uid, _)| uid.clone()).collect();
                     uids.iter().for_each(|uid| self.connect_machine(uid));
                 }
-                RECONNECT_JOURNAL => drop(self.dial(self.journal, Peer::Journal)),
+                RECONNECT_JOURNAL => drop(self.connect(self.journal, Peer::Journal)),
                 id => self.attempt_timed_out(id),
             }
         }
--- a/rehearsal/tests/dimension.rs
+++ b/rehearsal/tests/dimension.rs
@@ -25,7 +25,7 @@
 #[test]
 fn estimated_load_excludes_redials_and_its_interval_holds_the_offered_load() {
     let calendar = Calendar::new("Europe/Prague", 1).unwrap();
-    // With few circuits many calls are lost and dialled again; the redials must not count as offered load.
+    // With few circuits many calls are lost and redialled; the redials must not count as offered load.
     let script = four_node_script(600, "groups: { drift: 0, spare_roots: 0 },");
     let (mut covered, mut total, mut redials) = (0, 0, 0);
     for seed in 1..=4 {
@@ -47,7 +47,7 @@
             total += 1;
         }
     }
-    assert!(redials > 100, "too few calls were lost and dialled again: {redials}");
+    assert!(redials > 100, "too few calls were lost and redialled: {redials}");
     assert_eq!(total, 24);
     assert!(covered >= 21, "the 95% interval held the offered load {covered} times of {total}");
 }
--- a/rehearsal/tests/soak.rs
+++ b/rehearsal/tests/soak.rs
@@ -7,7 +7,7 @@
 use rehearsal::soak::{self, plan, SoakOptions, SoakReport};
 
 /// Seeds that are all played at the same time. With the release of incident f7b4cc, the first two fail with set-ups
-/// that are unanswered at a shutdown, and the others with callers that are told too late of a vanished exchange.
+/// without a final answer at a shutdown, and the others with callers that are notified too late of a vanished exchange.
 const SEEDS: [u64; 4] = [2, 21, 41, 300];
 
 /// The controller's executable, which the build of the workspace puts next to its tests.
@@ -27,7 +27,7 @@
 fn no_rule_is_broken_with_fixed_seeds() {
     let plans = SEEDS.map(|seed| (seed, Script::parse("plan", &plan::generate(seed)).unwrap()));
     let report = run_soak(plans.to_vec(), dillhold());
-    println!("runs that are not judged, because the driver fell behind: {:?}", report.late);
+    println!("unreliable runs, which are excluded, as the driver fell behind: {:?}", report.late);
     assert!(!report.has_breaches(), "{:#?}", report.breaches.first());
     assert_eq!((report.runs, report.crashes), (SEEDS.len(), 0));
     assert_eq!(report.rules_broken.len(), Rule::ALL.len(), "rules without a breach are listed too");
@@ -59,7 +59,7 @@
             let plans = script(limits);
             scope.spawn(move || {
                 let report = run_soak(plans, program);
-                assert!(report.late.is_empty(), "the driver fell behind: the run cannot be judged");
+                assert!(report.late.is_empty(), "the driver fell behind: the run is unreliable");
                 assert!(
                     report.rules_broken[&rule] > 0,
                     "{rule:?} is not detected: {:?}",
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Reads the operator's JSON5 files, with errors that name file, line, column and key.
+//! Reads the operator's JSON5 files, with errors that name file, line, column and key. This is the reader only: the
+//! controller's settings are defined in `pitchgw`.
 //!
 //! The JSON5 parser reports a position for syntax errors, but not for values that a type rejects later. To locate a
 //! rejected value, the text is parsed a second time along the value's path with a visitor that fails at the value, and
--- a/trunks/src/busy.rs
+++ b/trunks/src/busy.rs
@@ -10,7 +10,7 @@
 
 use crate::offered::{GroupLoad, LoadEstimate};
 
-/// Minimum number of days of a kind for a reliable mean: four weeks have four of each weekday.
+/// Minimum number of days of a kind for a reliable mean: the Saturdays of four weeks, for example.
 pub const MIN_DAYS: usize = 4;
 /// Minimum measured time for an hour to be used.
 const MIN_MEASURED_SECONDS: f64 = 50.0 * 60.0;
--- a/trunks/src/network.rs
+++ b/trunks/src/network.rs
@@ -1,7 +1,8 @@
 //! Erlang fixed-point approximation of a network of groups with tandem alternatives (alternative routing: Katz 1967,
-//! Akinpelu 1984). A call rejected by its direct group is offered to its tandems in turn. There it occupies a circuit
-//! of both groups and is rejected if either group has no more free circuits than it reserves for its own calls. The
-//! streams on a group are assumed to be Poisson, and the groups to be independent.
+//! Akinpelu 1984). A call rejected by its direct group is offered to its tandems in turn, as an
+//! alternative call: an overflow call on a tandem route. There it occupies a circuit of both groups and is rejected if
+//! either group has no more free circuits than it reserves for its own calls. The streams on a group are assumed to be
+//! Poisson, and the groups to be independent.
 //!
 //! Without reservation such a network can be bistable: for the same load, it has one state that carries most calls
 //! directly and one in which alternative calls displace direct calls (Krupp 1982, Akinpelu 1984). The iteration
